--- a/internal/rosecommand/vm.go
+++ b/internal/rosecommand/vm.go
@@ -75,7 +75,7 @@
 	drainer := &drainer{}
 	node := newNode(settings, drainer.cutOff)
 	node.Metrics().CountDropped(lines.Dropped)
-	drainer.front = roseplatform.NewFront(node)
+	drainer.front = roseplatform.NewServer(node)
 	return serveVM(ctx, path, settings, node, drainer)
 }
 
@@ -88,12 +88,12 @@
 		},
 		Incarnation:    strconv.FormatInt(time.Now().UnixNano(), 36),
 		Store:          store,
-		Targets:        roseplatform.Targets{Store: store},
-		Configurations: roseplatform.Configurations{Store: store},
+		Targets:        roseplatform.TargetRegistry{Store: store},
+		Configurations: roseplatform.ConfigurationStore{Store: store},
 		Promoter:       roseplatform.NewPromoter(settings.Promoter.Address, quickDialer{}),
-		Links:          roseplatform.LinkDialer{Dialer: quickDialer{}},
+		Links:          roseplatform.TargetDialer{Dialer: quickDialer{}},
 		Dialer:         quickDialer{},
-		Clock:          roseclock.Boot{},
+		Clock:          roseclock.BootTime{},
 		OnCut:          onCut,
 	})
 }
@@ -137,7 +137,7 @@
 // drainer sends callers elsewhere: all of them at a shutdown, and resting ones
 // while the VM's zone is cut off.
 type drainer struct {
-	front *roseplatform.Front
+	front *roseplatform.Server
 
 	mu       sync.Mutex
 	stopping bool
--- a/internal/rosedaemon/backend.go
+++ b/internal/rosedaemon/backend.go
@@ -56,7 +56,7 @@
 	}
 	controls := make(map[rosemary.TargetID]rosemary.TargetControl)
 	probes := make(map[rosemary.TargetID]rosemary.TargetControl)
-	b.share = d.divide(group.Connections)
+	b.share = d.divide(group.MaxConnections)
 	share := b.share.Floor
 	for _, t := range group.Targets {
 		config := rosepool.Config{
--- a/internal/rosedaemon/daemon.go
+++ b/internal/rosedaemon/daemon.go
@@ -55,7 +55,7 @@
 	Operators rosebundle.OperatorList
 	// Store and Roster are the platform's; either may be nil.
 	Store    rosemary.Store
-	Roster   rosemary.Roster
+	Roster   rosemary.MemberSource
 	Baseline Baseline
 }
 
--- a/internal/rosefront/authenticate.go
+++ b/internal/rosefront/authenticate.go
@@ -75,7 +75,7 @@
 	}
 	err := s.verify(backend, tenant, found)
 	if err != nil || !found {
-		return tenant, refuse(rosemary.KindAuth, "password authentication failed for "+quote(user), "check the tenant's name and password")
+		return tenant, refuse(rosemary.KindAuthentication, "password authentication failed for "+quote(user), "check the tenant's name and password")
 	}
 	return tenant, nil
 }
--- a/internal/rosefront/filter_claim.go
+++ b/internal/rosefront/filter_claim.go
@@ -75,10 +75,10 @@
 		_, err = group.Confirm(ctx, position)
 	}
 	if err != nil {
-		return refuse(rosemary.KindDuplicate, "request "+quote(r.id)+" was claimed before, and its outcome isn't settled yet",
+		return refuse(rosemary.KindDuplicateRequest, "request "+quote(r.id)+" was claimed before, and its outcome isn't settled yet",
 			"ask with rosemary.outcome(request)")
 	}
-	return refuse(rosemary.KindDuplicate, "request "+quote(r.id)+" was claimed before; its first outcome: "+r.claimRefused,
+	return refuse(rosemary.KindDuplicateRequest, "request "+quote(r.id)+" was claimed before; its first outcome: "+r.claimRefused,
 		"don't send it again; use a new identifier for a new request")
 }
 
--- a/internal/rosefront/filter_confirm.go
+++ b/internal/rosefront/filter_confirm.go
@@ -43,7 +43,7 @@
 			Message: "the write reached the primary but was not confirmed before the deadline",
 			Remedy:  "ask with rosemary.outcome(request), or read the row from the primary",
 		}
-	case fate == rosemary.FateLost:
+	case fate == rosemary.RecordLost:
 		c.session = before
 		return refuse(rosemary.KindUnconfirmed, "the primary was replaced before the write was confirmed, and the write is gone", "retry")
 	}
--- a/internal/rosefront/filter_local.go
+++ b/internal/rosefront/filter_local.go
@@ -43,7 +43,7 @@
 			return nil
 		}
 		return &rosemary.Refusal{
-			Kind:    rosemary.KindConnection,
+			Kind:    rosemary.KindConnectionLost,
 			Outcome: rosemary.OutcomeNotRun,
 			Message: "the transaction was lost with its connection and rolled back",
 			Remedy:  "send ROLLBACK and run the transaction again",
--- a/internal/rosefront/filter_retry.go
+++ b/internal/rosefront/filter_retry.go
@@ -41,7 +41,7 @@
 		return r.refusedAsWrite()
 	}
 	var refusal *rosemary.Refusal
-	if !errors.As(err, &refusal) || refusal.Kind != rosemary.KindConnection {
+	if !errors.As(err, &refusal) || refusal.Kind != rosemary.KindConnectionLost {
 		return false
 	}
 	return refusal.Outcome == rosemary.OutcomeNotRun || r.mayRepeat()
--- a/internal/rosefront/handshake.go
+++ b/internal/rosefront/handshake.go
@@ -117,7 +117,7 @@
 	}
 	router, found := s.config.Directory.Router(database)
 	if !found || !allows(tenant, database) {
-		return nil, refuse(rosemary.KindDatabase, "database "+quote(database)+" is unknown or not open to "+quote(tenant.Name),
+		return nil, refuse(rosemary.KindUnknownDatabase, "database "+quote(database)+" is unknown or not open to "+quote(tenant.Name),
 			"check the database name and the tenant's Databases")
 	}
 	c := newCaller(s, conn, backend, tenant, router, rosesession.NewSession(tenant.Name, database))
@@ -138,7 +138,7 @@
 	case full:
 		return refuse(rosemary.KindOverloaded, "this proxy has no place for another caller", "connect again later")
 	case s.config.RequireTLS && !encrypted:
-		return refuse(rosemary.KindAuth, "this proxy accepts encrypted connections only", "connect with sslmode=require")
+		return refuse(rosemary.KindAuthentication, "this proxy accepts encrypted connections only", "connect with sslmode=require")
 	}
 	return nil
 }
--- a/internal/rosefront/settle.go
+++ b/internal/rosefront/settle.go
@@ -64,7 +64,7 @@
 		}
 	}
 	return &rosemary.Refusal{
-		Kind:    rosemary.KindConnection,
+		Kind:    rosemary.KindConnectionLost,
 		Outcome: outcome,
 		Message: "the connection to the target was lost",
 		Remedy:  remedyFor(outcome),
--- a/internal/rosenode/facts.go
+++ b/internal/rosenode/facts.go
@@ -97,7 +97,7 @@
 		Target:        string(s.Status.Target),
 		Primary:       s.Status.Role == rosemary.RolePrimary,
 		Term:          s.Status.Term,
-		Held:          s.Status.Held,
+		Held:          s.Status.PausedTerm,
 		LogTerm:       s.Status.Position.LogTerm,
 		Offset:        s.Status.Position.Offset,
 		AppliedTerm:   s.Status.Applied.LogTerm,
@@ -119,12 +119,12 @@
 	sentAt := askedAt.Add(-time.Duration(f.AgeMs) * time.Millisecond)
 	return rosegroup.Shared{
 		Status: rosemary.Status{
-			Target:   rosemary.TargetID(f.Target),
-			Role:     role,
-			Term:     f.Term,
-			Held:     f.Held,
-			Position: rosemary.Position{LogTerm: f.LogTerm, Offset: f.Offset},
-			Applied:  rosemary.Position{LogTerm: f.AppliedTerm, Offset: f.AppliedOffset},
+			Target:     rosemary.TargetID(f.Target),
+			Role:       role,
+			Term:       f.Term,
+			PausedTerm: f.Held,
+			Position:   rosemary.Position{LogTerm: f.LogTerm, Offset: f.Offset},
+			Applied:    rosemary.Position{LogTerm: f.AppliedTerm, Offset: f.AppliedOffset},
 		},
 		SentAt:    sentAt,
 		FreeSince: sentAt.Add(-time.Duration(f.FreeMs) * time.Millisecond),
--- a/internal/rosenode/follow.go
+++ b/internal/rosenode/follow.go
@@ -66,7 +66,7 @@
 			lost = false
 			n.apply(configuration)
 			continue
-		case errors.Is(err, rosemary.ErrHistoryLost):
+		case errors.Is(err, rosemary.ErrCompacted):
 			klog.InfoS("configuration read anew", "why", roselog.Err(err))
 		case ctx.Err() == nil && !lost:
 			lost = true
@@ -156,11 +156,11 @@
 
 // take replaces the targets known; keepMissing leaves those that the list
 // lacks.
-func (n *Node) take(listings []rosemary.Listing, keepMissing bool) {
+func (n *Node) take(listings []rosemary.TargetRegistration, keepMissing bool) {
 	n.mu.Lock()
 	if keepMissing {
 		for _, old := range n.listings {
-			same := func(l rosemary.Listing) bool { return l.ID == old.ID }
+			same := func(l rosemary.TargetRegistration) bool { return l.ID == old.ID }
 			if !slices.ContainsFunc(listings, same) {
 				listings = append(listings, old)
 			}
@@ -189,7 +189,7 @@
 		if g == nil {
 			g = n.startGroup(name)
 		}
-		var own []rosemary.Listing
+		var own []rosemary.TargetRegistration
 		for _, l := range n.listings {
 			if l.Group == name {
 				own = append(own, l)
--- a/internal/rosenode/homes.go
+++ b/internal/rosenode/homes.go
@@ -22,8 +22,8 @@
 
 // freeConnections is the number of links that all proxies may hold to one of a
 // group's targets.
-func freeConnections(rule rosemary.GroupRule, slots int) int {
-	free := rule.Connections - controlConnections
+func freeConnections(rule rosemary.GroupSettings, slots int) int {
+	free := rule.MaxConnections - controlConnections
 	if slots > 0 {
 		free = min(free, linksPerSlot*slots)
 	}
@@ -93,7 +93,7 @@
 }
 
 // freeFor returns the number of links to each target of a group.
-func (n *Node) freeFor(group string, rule rosemary.GroupRule) int {
+func (n *Node) freeFor(group string, rule rosemary.GroupSettings) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return freeConnections(rule, slotsOf(group, n.listings))
@@ -101,7 +101,7 @@
 
 // slotsOf returns the least number of slots of a group's targets, zero if none
 // is known.
-func slotsOf(group string, listings []rosemary.Listing) int {
+func slotsOf(group string, listings []rosemary.TargetRegistration) int {
 	slots := 0
 	for _, l := range listings {
 		if l.Group == group && (slots == 0 || l.Slots < slots) {
--- a/internal/rosenode/homes_test.go
+++ b/internal/rosenode/homes_test.go
@@ -40,7 +40,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			rule := rosemary.GroupRule{Name: "g", Connections: test.connections}
+			rule := rosemary.GroupSettings{Name: "g", MaxConnections: test.connections}
 			free := freeConnections(rule, test.slots)
 			all := homes("g", free, test.members)
 			qt.Check(t, all, qt.HasLen, test.homes)
--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -30,7 +30,7 @@
 	Targets        rosemary.TargetSource
 	Configurations rosemary.ConfigurationSource
 	Promoter       rosemary.Promoter
-	Links          rosemary.LinkDialer
+	Links          rosemary.TargetDialer
 	// Dialer reaches the other proxies.
 	Dialer rosemary.Dialer
 	// Clock counts suspended time.
@@ -67,7 +67,7 @@
 
 	mu       sync.Mutex
 	groups   map[string]*group
-	listings []rosemary.Listing
+	listings []rosemary.TargetRegistration
 	listed   bool
 	context  context.Context
 	tasks    sync.WaitGroup
@@ -217,7 +217,7 @@
 func (n *Node) Open(database string) (*rosecaller.Session, *rosemary.Refusal) {
 	if _, found := n.Route(database); !found {
 		refusal := &rosemary.Refusal{
-			Kind: rosemary.KindDatabase, Outcome: rosemary.OutcomeNotRun,
+			Kind: rosemary.KindUnknownDatabase, Outcome: rosemary.OutcomeNotRun,
 			Message: "there is no such database", Remedy: "look at the configuration in force",
 		}
 		n.Refused(database, "", refusal, "", 0)
@@ -252,8 +252,8 @@
 
 // TransactionIdle is how long a transaction may rest.
 func (n *Node) TransactionIdle() time.Duration {
-	if c := n.configuration.Load(); c != nil && c.TransactionIdle > 0 {
-		return c.TransactionIdle
+	if c := n.configuration.Load(); c != nil && c.TransactionIdleTimeout > 0 {
+		return c.TransactionIdleTimeout
 	}
 	return defaultTransactionIdle
 }
--- a/pkg/rosebundle/content.go
+++ b/pkg/rosebundle/content.go
@@ -83,7 +83,7 @@
 
 // Group returns the group of a database.
 func (d Database) Group() rosemary.Group {
-	group := rosemary.Group{Database: d.Name, Slots: d.Slots, Connections: d.Connections}
+	group := rosemary.Group{Database: d.Name, Slots: d.Slots, MaxConnections: d.Connections}
 	for _, t := range d.Targets {
 		group.Targets = append(group.Targets, rosemary.Target{
 			ID:      rosemary.TargetID(t.ID),
--- a/pkg/rosecaller/block.go
+++ b/pkg/rosecaller/block.go
@@ -37,15 +37,15 @@
 		if !j.again(ctx, a) {
 			return answer, refusal
 		}
-		j.block = rosemary.BlockOpen
+		j.block = rosemary.TransactionOpen
 	}
 }
 
 // failBlock records that the transaction began nowhere.
 func (j *job) failBlock(statement rosemary.Statement) {
-	j.block = rosemary.BlockFailed
+	j.block = rosemary.TransactionFailed
 	if statement.Kind == rosemary.StatementCommit {
-		j.block = rosemary.BlockIdle
+		j.block = rosemary.TransactionNone
 	}
 }
 
@@ -59,7 +59,7 @@
 		return refusal.Outcome == rosemary.OutcomeNotRun
 	}
 	switch answer.Failure {
-	case rosemary.FailureBusy, rosemary.FailureBehind, rosemary.FailureReadOnly, rosemary.FailureUnprepared, rosemary.FailureAborted:
+	case rosemary.FailureBusy, rosemary.FailureLagging, rosemary.FailureReadOnly, rosemary.FailureUnknownStatement, rosemary.FailureAborted:
 		return true
 	}
 	return false
@@ -75,8 +75,8 @@
 	j.took(lease)
 	begin := rosemary.Statement{Kind: rosemary.StatementBegin, ReadOnly: j.task.ReadOnly}
 	if !lease.Primary() {
-		begin.Floor = j.request(a, true).Floor
-		if begin.Floor.IsZero() {
+		begin.MinPosition = j.request(a, true).Floor
+		if begin.MinPosition.IsZero() {
 			lease.Release(true)
 			a.primary = true
 			return nil
@@ -93,10 +93,10 @@
 	if preludeHolds(answers[:len(prelude)]) {
 		lease.SetMemo(memo)
 	}
-	if !preludeHolds(answers) || began.Block != rosemary.BlockOpen {
-		lease.Release(preludeHolds(answers[:len(prelude)]) && began.Block == rosemary.BlockIdle)
+	if !preludeHolds(answers) || began.TransactionState != rosemary.TransactionOpen {
+		lease.Release(preludeHolds(answers[:len(prelude)]) && began.TransactionState == rosemary.TransactionNone)
 		a.avoid = lease.Target()
-		a.primary = a.primary || began.Failure == rosemary.FailureBehind && a.tries > 0
+		a.primary = a.primary || began.Failure == rosemary.FailureLagging && a.tries > 0
 		return nil
 	}
 	if lease.Primary() && !lease.Certain() {
@@ -117,7 +117,7 @@
 	}
 	if !preludeHolds(answers[:len(prelude)]) {
 		j.abandonLease()
-		j.block = rosemary.BlockFailed
+		j.block = rosemary.TransactionFailed
 		return rosemary.Answer{}, aborted("the session's values could not be set on the target")
 	}
 	j.lease.SetMemo(memo)
@@ -128,11 +128,11 @@
 	if statement.Writes && answer.Failure == rosemary.FailureNone {
 		j.wrote = true
 	}
-	j.block = answer.Block
-	if answer.Block == rosemary.BlockIdle {
+	j.block = answer.TransactionState
+	if answer.TransactionState == rosemary.TransactionNone {
 		// The target has ended the transaction by itself.
 		j.releaseLease(true)
-		j.block = rosemary.BlockFailed
+		j.block = rosemary.TransactionFailed
 	}
 	return answer, nil
 }
@@ -141,7 +141,7 @@
 func (j *job) lost(sent bool) *rosemary.Refusal {
 	j.abandonLease()
 	result := Lost(j.task, j.target, true, j.wrote && sent)
-	j.block, j.task.Uncertain = result.Answer.Block, result.Uncertain
+	j.block, j.task.Uncertain = result.Answer.TransactionState, result.Uncertain
 	return result.Refusal
 }
 
@@ -149,10 +149,10 @@
 func (j *job) afterCommit(answer rosemary.Answer) (rosemary.Answer, *rosemary.Refusal) {
 	certain := !j.wrote || j.lease.Certain()
 	target := j.lease.Target()
-	j.releaseLease(answer.Block == rosemary.BlockIdle)
-	j.block = rosemary.BlockIdle
+	j.releaseLease(answer.TransactionState == rosemary.TransactionNone)
+	j.block = rosemary.TransactionNone
 	if answer.Failure != rosemary.FailureNone {
-		if j.wrote && answer.Failure.HasRun() {
+		if j.wrote && answer.Failure.MayHaveRun() {
 			j.task.Uncertain = true
 		}
 		return answer, nil
--- a/pkg/rosecaller/carrier.go
+++ b/pkg/rosecaller/carrier.go
@@ -36,7 +36,7 @@
 // Begin opens a transaction with its first statement.
 func (c *Carrier) Begin(ctx context.Context, task Task) (Transaction, Result) {
 	c.config.Budget.Earn()
-	j := &job{carrier: c, task: task, block: rosemary.BlockOpen}
+	j := &job{carrier: c, task: task, block: rosemary.TransactionOpen}
 	result := j.result(j.runFirst(ctx, task.Statement))
 	if !result.Open {
 		return nil, result
@@ -48,7 +48,7 @@
 type job struct {
 	carrier *Carrier
 	task    Task
-	block   rosemary.Block
+	block   rosemary.TransactionState
 	lease   *rosefleet.Lease
 	wrote   bool
 	// target is the last one that the job had a lease on.
@@ -70,7 +70,7 @@
 		return
 	}
 	answers, _, err := j.lease.Exchange(time.Now().Add(rollbackTimeout), rosemary.Statement{Kind: rosemary.StatementRollback})
-	j.lease.Release(err == nil && answers[0].Block == rosemary.BlockIdle)
+	j.lease.Release(err == nil && answers[0].TransactionState == rosemary.TransactionNone)
 	j.lease = nil
 }
 
@@ -78,7 +78,7 @@
 func (j *job) took(lease *rosefleet.Lease) { j.target, j.primary = lease.Target(), lease.Primary() }
 
 func (j *job) result(answer rosemary.Answer, refusal *rosemary.Refusal) Result {
-	answer.Block = j.block
+	answer.TransactionState = j.block
 	return Result{
 		Answer: answer, Refusal: refusal, Floor: j.task.Floor, Uncertain: j.task.Uncertain,
 		Target: j.target, Primary: j.primary, Open: j.lease != nil,
--- a/pkg/rosecaller/drain.go
+++ b/pkg/rosecaller/drain.go
@@ -17,9 +17,9 @@
 
 // Deadline returns when the wait for a caller's next message ends; zero means
 // never. A transaction may rest for idleLimit.
-func (d Drain) Deadline(block rosemary.Block, idleLimit time.Duration) time.Time {
+func (d Drain) Deadline(block rosemary.TransactionState, idleLimit time.Duration) time.Time {
 	limit := d.Idle
-	if block != rosemary.BlockIdle {
+	if block != rosemary.TransactionNone {
 		limit = d.Blocks
 	}
 	if idleLimit <= 0 {
--- a/pkg/rosecaller/refusal.go
+++ b/pkg/rosecaller/refusal.go
@@ -24,12 +24,12 @@
 }
 
 func unknownName(name string) *rosemary.Refusal {
-	return refuse(rosemary.KindUnprepared, rosemary.OutcomeNotRun,
+	return refuse(rosemary.KindUnknownStatement, rosemary.OutcomeNotRun,
 		fmt.Sprintf("nothing is prepared as %q", name), "prepare it in this session", 0)
 }
 
 func unknownDatabase(database string) *rosemary.Refusal {
-	return refuse(rosemary.KindDatabase, rosemary.OutcomeNotRun,
+	return refuse(rosemary.KindUnknownDatabase, rosemary.OutcomeNotRun,
 		fmt.Sprintf("there is no database %q", database), "look at the configuration in force", 0)
 }
 
--- a/pkg/rosecaller/run.go
+++ b/pkg/rosecaller/run.go
@@ -61,14 +61,14 @@
 		Avoid:    a.avoid,
 	}
 	class := j.task.Route.Class
-	if a.primary || !readOnly || class.MaxAge <= floorMargin || class.OwnWrites && j.task.Uncertain {
+	if a.primary || !readOnly || class.MaxAge <= floorMargin || class.ReadYourWrites && j.task.Uncertain {
 		return request
 	}
 	floor, known := a.group.Floor(class.MaxAge - floorMargin)
 	if !known {
 		return request
 	}
-	if class.OwnWrites {
+	if class.ReadYourWrites {
 		floor = floor.Max(j.task.Floor)
 	}
 	request.Primary, request.Floor = false, floor
@@ -145,8 +145,8 @@
 	j.took(lease)
 	prelude, memo := j.prelude(lease, statement)
 	if !lease.Primary() {
-		statement.Floor = j.request(a, true).Floor
-		if statement.Floor.IsZero() {
+		statement.MinPosition = j.request(a, true).Floor
+		if statement.MinPosition.IsZero() {
 			lease.Release(true)
 			a.primary = true
 			return rosemary.Answer{}, tryAgain
@@ -164,7 +164,7 @@
 	if !preludeHolds(answers[:len(prelude)]) {
 		// What ran after it may have run with other values.
 		lease.Release(false)
-		if statement.Writes && answers[len(prelude)].Failure.HasRun() {
+		if statement.Writes && answers[len(prelude)].Failure.MayHaveRun() {
 			return rosemary.Answer{}, tryUnknown
 		}
 		return rosemary.Answer{}, tryAgain
@@ -172,7 +172,7 @@
 	lease.SetMemo(memo)
 	answer := answers[len(prelude)]
 	result := j.judge(a, lease, answer)
-	lease.Release(answer.Block == rosemary.BlockIdle)
+	lease.Release(answer.TransactionState == rosemary.TransactionNone)
 	return answer, result
 }
 
@@ -204,17 +204,17 @@
 			j.task.Floor = j.task.Floor.Max(answer.Position)
 		}
 		return tryDone
-	case rosemary.FailureBehind:
+	case rosemary.FailureLagging:
 		a.primary = a.tries > 0
 		a.avoid = lease.Target()
 		return tryAgain
 	case rosemary.FailureReadOnly, rosemary.FailureBusy:
 		a.avoid = lease.Target()
 		return tryAgain
-	case rosemary.FailureUnprepared:
+	case rosemary.FailureUnknownStatement:
 		lease.SetMemo(&memo{values: j.task.Values, prepared: make(map[string]bool)})
 		return tryAgain
-	case rosemary.FailureFailed, rosemary.FailureTimeout:
+	case rosemary.FailureExecution, rosemary.FailureTimeout:
 		if writes {
 			return tryDone
 		}
--- a/pkg/rosecaller/session.go
+++ b/pkg/rosecaller/session.go
@@ -54,7 +54,7 @@
 	// uncertain is set once the outcome of a write is unknown.
 	uncertain bool
 
-	block    rosemary.Block
+	block    rosemary.TransactionState
 	readOnly bool
 	route    rosemary.Route
 	// transaction is nil until a target runs its first statement.
@@ -72,11 +72,11 @@
 }
 
 // Block returns the state of the session's transaction.
-func (s *Session) Block() rosemary.Block { return s.block }
+func (s *Session) Block() rosemary.TransactionState { return s.block }
 
 // IdleLimit is how long the caller may rest now; zero means without limit.
 func (s *Session) IdleLimit() time.Duration {
-	if s.block != rosemary.BlockOpen {
+	if s.block != rosemary.TransactionOpen {
 		return 0
 	}
 	return s.config.Directory.TransactionIdle()
@@ -86,13 +86,13 @@
 // learns of it with its next statement.
 func (s *Session) Expire() {
 	s.rollback()
-	s.block, s.expired = rosemary.BlockFailed, true
+	s.block, s.expired = rosemary.TransactionFailed, true
 }
 
 // Close ends the session and rolls back what is open.
 func (s *Session) Close() {
 	s.rollback()
-	s.block = rosemary.BlockIdle
+	s.block = rosemary.TransactionNone
 }
 
 // Do runs one statement. The answer's block is that of the session after it.
@@ -101,7 +101,7 @@
 	s.asked = ""
 	started := time.Now()
 	answer, refusal := s.do(ctx, statement)
-	answer.Block = s.block
+	answer.TransactionState = s.block
 	if refusal != nil {
 		s.config.Observer.Refused(s.config.Database, statement.ID, refusal, s.asked, time.Since(started))
 	}
@@ -109,7 +109,7 @@
 }
 
 func (s *Session) do(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
-	if s.block == rosemary.BlockFailed && statement.Kind != rosemary.StatementRollback && statement.Kind != rosemary.StatementCommit {
+	if s.block == rosemary.TransactionFailed && statement.Kind != rosemary.StatementRollback && statement.Kind != rosemary.StatementCommit {
 		if s.expired {
 			s.expired = false
 			return rosemary.Answer{}, aborted("the transaction rested for too long and was rolled back")
@@ -138,7 +138,7 @@
 		return s.startBlock(statement)
 	case rosemary.StatementRollback:
 		s.rollback()
-		s.block = rosemary.BlockIdle
+		s.block = rosemary.TransactionNone
 		return local(), nil
 	}
 	return s.run(ctx, statement)
@@ -147,20 +147,20 @@
 // startBlock opens a transaction. The target learns of it with the first
 // statement.
 func (s *Session) startBlock(statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
-	if s.block != rosemary.BlockIdle {
+	if s.block != rosemary.TransactionNone {
 		return rosemary.Answer{}, protocolError("a transaction is open already", "end it first")
 	}
 	route, found := s.config.Directory.Route(s.config.Database)
 	if !found {
 		return rosemary.Answer{}, unknownDatabase(s.config.Database)
 	}
-	s.block, s.readOnly, s.route, s.expired = rosemary.BlockOpen, statement.ReadOnly, route, false
+	s.block, s.readOnly, s.route, s.expired = rosemary.TransactionOpen, statement.ReadOnly, route, false
 	return local(), nil
 }
 
 // run serves a statement that a target has to run.
 func (s *Session) run(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
-	if statement.Kind == rosemary.StatementCommit && s.block != rosemary.BlockOpen {
+	if statement.Kind == rosemary.StatementCommit && s.block != rosemary.TransactionOpen {
 		return s.commitWithoutBlock()
 	}
 	task := Task{Owner: s.owner, Values: s.values, Floor: s.floor, Uncertain: s.uncertain}
@@ -172,7 +172,7 @@
 		statement.Name, statement.Writes = p.Name, p.Writes
 		task.Prepared = p
 	}
-	if s.block == rosemary.BlockIdle {
+	if s.block == rosemary.TransactionNone {
 		route, found := s.config.Directory.Route(s.config.Database)
 		if !found {
 			return rosemary.Answer{}, unknownDatabase(s.config.Database)
@@ -181,7 +181,7 @@
 	}
 	started := time.Now()
 	task.Statement, task.Route, task.ReadOnly = statement, s.route, s.readOnly
-	task.Deadline, task.Aim = started.Add(s.route.Class.Deadline-answerSlack), started.Add(s.route.Aim)
+	task.Deadline, task.Aim = started.Add(s.route.Class.Deadline-answerSlack), started.Add(s.route.LatencyObjective)
 	result := s.execute(ctx, task)
 	if result.Refusal == nil && result.Answer.Failure == rosemary.FailureNone {
 		s.config.Observer.Served(task, result, time.Since(started))
@@ -193,7 +193,7 @@
 func (s *Session) execute(ctx context.Context, task Task) Result {
 	var result Result
 	switch {
-	case s.block == rosemary.BlockIdle:
+	case s.block == rosemary.TransactionNone:
 		result = s.config.Executor.Run(ctx, task)
 	case s.transaction == nil:
 		s.transaction, result = s.config.Executor.Begin(ctx, task)
@@ -203,16 +203,16 @@
 	if !result.Open {
 		s.transaction = nil
 	}
-	s.block, s.floor, s.uncertain, s.asked = result.Answer.Block, result.Floor, result.Uncertain, result.Target
+	s.block, s.floor, s.uncertain, s.asked = result.Answer.TransactionState, result.Floor, result.Uncertain, result.Target
 	return result
 }
 
 // commitWithoutBlock answers a commit outside an open transaction. One that
 // failed is rolled back.
 func (s *Session) commitWithoutBlock() (rosemary.Answer, *rosemary.Refusal) {
-	if s.block == rosemary.BlockFailed {
+	if s.block == rosemary.TransactionFailed {
 		s.rollback()
-		s.block = rosemary.BlockIdle
+		s.block = rosemary.TransactionNone
 		return rosemary.Answer{}, aborted("the transaction had failed and was rolled back")
 	}
 	return rosemary.Answer{}, protocolError("no transaction is open", "begin one first")
--- a/pkg/rosecaller/session_test.go
+++ b/pkg/rosecaller/session_test.go
@@ -45,7 +45,7 @@
 
 // Route returns the only route.
 func (s *script) Route(database string) (rosemary.Route, bool) {
-	return rosemary.Route{Database: database, Group: "g", Aim: 100 * time.Millisecond, Class: rosemary.Class{Name: "own", Deadline: time.Second}}, database == "db"
+	return rosemary.Route{Database: database, Group: "g", LatencyObjective: 100 * time.Millisecond, Class: rosemary.Class{Name: "own", Deadline: time.Second}}, database == "db"
 }
 
 // TransactionIdle is short.
@@ -92,25 +92,25 @@
 
 func TestTransactionStaysWithItsExecutor(t *testing.T) {
 	c := qt.New(t)
-	open := rosecaller.Result{Answer: rosemary.Answer{Digest: "d", Block: rosemary.BlockOpen}, Open: true}
-	failed := rosecaller.Result{Answer: rosemary.Answer{Failure: rosemary.FailureFailed, Block: rosemary.BlockFailed}, Open: true}
+	open := rosecaller.Result{Answer: rosemary.Answer{Digest: "d", TransactionState: rosemary.TransactionOpen}, Open: true}
+	failed := rosecaller.Result{Answer: rosemary.Answer{Failure: rosemary.FailureExecution, TransactionState: rosemary.TransactionFailed}, Open: true}
 	session, s := newSession(open, failed)
 	for _, kind := range []rosemary.StatementKind{rosemary.StatementBegin, rosemary.StatementRead, rosemary.StatementWrite} {
 		_, refusal := session.Do(context.Background(), statement(kind, "", "x"))
 		c.Assert(refusal == nil, qt.IsTrue)
 	}
-	c.Check(session.Block(), qt.Equals, rosemary.BlockFailed)
+	c.Check(session.Block(), qt.Equals, rosemary.TransactionFailed)
 	_, refusal := session.Do(context.Background(), statement(rosemary.StatementRead, "", "x"))
 	c.Check(refusal.Kind, qt.Equals, rosemary.KindProtocol)
 	_, refusal = session.Do(context.Background(), statement(rosemary.StatementRollback, "", ""))
 	c.Check(refusal == nil, qt.IsTrue)
 	c.Check(s.rolled, qt.Equals, 1)
-	c.Check(session.Block(), qt.Equals, rosemary.BlockIdle)
+	c.Check(session.Block(), qt.Equals, rosemary.TransactionNone)
 }
 
 func TestExpiredTransactionIsTold(t *testing.T) {
 	c := qt.New(t)
-	session, s := newSession(rosecaller.Result{Answer: rosemary.Answer{Digest: "d", Block: rosemary.BlockOpen}, Open: true})
+	session, s := newSession(rosecaller.Result{Answer: rosemary.Answer{Digest: "d", TransactionState: rosemary.TransactionOpen}, Open: true})
 	_, _ = session.Do(context.Background(), statement(rosemary.StatementBegin, "", ""))
 	_, _ = session.Do(context.Background(), statement(rosemary.StatementWrite, "", "w"))
 	c.Check(session.IdleLimit(), qt.Equals, time.Second)
@@ -120,7 +120,7 @@
 	c.Check(refusal.Kind, qt.Equals, rosemary.KindAborted)
 	_, refusal = session.Do(context.Background(), statement(rosemary.StatementCommit, "", ""))
 	c.Check(refusal.Kind, qt.Equals, rosemary.KindAborted)
-	c.Check(session.Block(), qt.Equals, rosemary.BlockIdle)
+	c.Check(session.Block(), qt.Equals, rosemary.TransactionNone)
 }
 
 func TestWhatALostAnswerMeans(t *testing.T) {
@@ -132,20 +132,20 @@
 		kind           rosemary.StatementKind
 		inBlock, wrote bool
 		outcome        rosemary.Outcome
-		block          rosemary.Block
+		block          rosemary.TransactionState
 		uncertain      bool
 	}{
-		{"a read", rosemary.StatementRead, false, false, rosemary.OutcomeUnknown, rosemary.BlockIdle, false},
-		{"a write", rosemary.StatementWrite, false, false, rosemary.OutcomeUnknown, rosemary.BlockIdle, true},
-		{"a write of a transaction", rosemary.StatementWrite, true, true, rosemary.OutcomeNotRun, rosemary.BlockFailed, false},
-		{"a commit of writes", rosemary.StatementCommit, true, true, rosemary.OutcomeUnknown, rosemary.BlockIdle, true},
-		{"a commit of reads", rosemary.StatementCommit, true, false, rosemary.OutcomeNotRun, rosemary.BlockIdle, false},
+		{"a read", rosemary.StatementRead, false, false, rosemary.OutcomeUnknown, rosemary.TransactionNone, false},
+		{"a write", rosemary.StatementWrite, false, false, rosemary.OutcomeUnknown, rosemary.TransactionNone, true},
+		{"a write of a transaction", rosemary.StatementWrite, true, true, rosemary.OutcomeNotRun, rosemary.TransactionFailed, false},
+		{"a commit of writes", rosemary.StatementCommit, true, true, rosemary.OutcomeUnknown, rosemary.TransactionNone, true},
+		{"a commit of reads", rosemary.StatementCommit, true, false, rosemary.OutcomeNotRun, rosemary.TransactionNone, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			result := rosecaller.Lost(task(test.kind), "t-1", test.inBlock, test.wrote)
 			qt.Check(t, result.Refusal.Outcome, qt.Equals, test.outcome)
-			qt.Check(t, result.Answer.Block, qt.Equals, test.block)
+			qt.Check(t, result.Answer.TransactionState, qt.Equals, test.block)
 			qt.Check(t, result.Uncertain, qt.Equals, test.uncertain)
 			qt.Check(t, result.Floor, qt.Equals, position)
 			qt.Check(t, result.Open, qt.IsFalse)
--- a/pkg/rosecaller/task.go
+++ b/pkg/rosecaller/task.go
@@ -80,7 +80,7 @@
 	case commits:
 		result.Refusal = aborted("the link to the target was lost before anything was committed")
 	case inBlock:
-		result.Answer.Block = rosemary.BlockFailed
+		result.Answer.TransactionState = rosemary.TransactionFailed
 		result.Refusal = aborted("the link to the target was lost within the transaction")
 	default:
 		result.Refusal = readFailed(0)
--- a/pkg/roseclock/boot.go
+++ b/pkg/roseclock/boot.go
@@ -18,12 +18,12 @@
 // Now returns the runtime's time.
 func (Runtime) Now() time.Time { return time.Now() }
 
-// Boot counts from the VM's start and goes on while the VM is suspended. The
+// BootTime counts from the VM's start and goes on while the VM is suspended. The
 // times that it returns are comparable with each other alone.
-type Boot struct{}
+type BootTime struct{}
 
 // Now returns the time since the VM's start.
-func (Boot) Now() time.Time {
+func (BootTime) Now() time.Time {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
 		return time.Now()
--- a/pkg/rosefleet/group.go
+++ b/pkg/rosefleet/group.go
@@ -22,7 +22,7 @@
 	Name string
 	// Zone is that of this proxy; targets in it are preferred.
 	Zone   rosemary.Zone
-	Dialer rosemary.LinkDialer
+	Dialer rosemary.TargetDialer
 	// Clock counts suspended time.
 	Clock roseclock.Clock
 	// Trusted reports whether this proxy may rely on a primary at all; nil
@@ -106,7 +106,7 @@
 }
 
 // Update replaces the targets of the group.
-func (g *Group) Update(listings []rosemary.Listing, links Links) {
+func (g *Group) Update(listings []rosemary.TargetRegistration, links Links) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
@@ -118,7 +118,7 @@
 		listed[l.ID] = true
 		ids = append(ids, l.ID)
 		p := g.places[l.ID]
-		if p != nil && (p.target != l.Target || p.born != l.Born) {
+		if p != nil && (p.target != l.Target || p.born != l.Incarnation) {
 			g.remove(p, "it has started anew")
 			p = nil
 		}
@@ -143,18 +143,18 @@
 }
 
 // add starts a place. The lock is held.
-func (g *Group) add(l rosemary.Listing) *place {
+func (g *Group) add(l rosemary.TargetRegistration) *place {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &place{
 		group:  g,
 		target: l.Target,
-		born:   l.Born,
+		born:   l.Incarnation,
 		pool:   newPool(),
 		wake:   make(chan struct{}, 1),
 		cancel: cancel,
 	}
 	g.places[l.ID] = p
-	klog.InfoS("target added", "group", g.config.Name, "target", l.ID, "address", l.Address, "zone", l.Zone, "born", l.Born)
+	klog.InfoS("target added", "group", g.config.Name, "target", l.ID, "address", l.Address, "zone", l.Zone, "born", l.Incarnation)
 	g.tasks.Go(func() { p.sample(ctx) })
 	return p
 }
@@ -348,7 +348,7 @@
 
 // TargetView is what is known of one target.
 type TargetView struct {
-	rosemary.Listing
+	rosemary.TargetRegistration
 	Status rosemary.Status
 	// SeenAt is when the status was asked for; zero for never.
 	SeenAt time.Time
@@ -381,8 +381,8 @@
 	for id, p := range g.places {
 		status, seenAt, _ := g.leadership.Status(id)
 		t := TargetView{
-			Listing: rosemary.Listing{Target: p.target, Group: g.config.Name, Slots: p.slots, Leaving: p.leaving, Born: p.born},
-			Status:  status, SeenAt: seenAt, Refused: p.refused,
+			TargetRegistration: rosemary.TargetRegistration{Target: p.target, Group: g.config.Name, Slots: p.slots, Leaving: p.leaving, Incarnation: p.born},
+			Status:             status, SeenAt: seenAt, Refused: p.refused,
 		}
 		if !p.failingSince.IsZero() {
 			t.FailingFor = now.Sub(p.failingSince)
--- a/pkg/rosefleet/lease.go
+++ b/pkg/rosefleet/lease.go
@@ -275,7 +275,7 @@
 			g.deposed(p)
 		}
 		return
-	case rosemary.FailureBehind:
+	case rosemary.FailureLagging:
 		g.mu.Lock()
 		now := g.config.Clock.Now()
 		p.behindTill = now.Add(behindPause)
--- a/pkg/rosefleet/pool.go
+++ b/pkg/rosefleet/pool.go
@@ -25,7 +25,7 @@
 
 // held is a link with what its last user left on it.
 type held struct {
-	link rosemary.Link
+	link rosemary.Conn
 	// memo is what the link's last user left on it.
 	memo    any
 	owner   uint64
--- a/pkg/rosefleet/pool_test.go
+++ b/pkg/rosefleet/pool_test.go
@@ -13,7 +13,7 @@
 
 // idleLink is a link that nothing is sent on.
 type idleLink struct {
-	rosemary.Link
+	rosemary.Conn
 	closed bool
 }
 
--- a/pkg/rosefleet/sample.go
+++ b/pkg/rosefleet/sample.go
@@ -108,7 +108,7 @@
 // sampleOnce asks the target for its status and reports whether it answers.
 func (p *place) sampleOnce(ctx context.Context) bool {
 	sentAt := p.group.config.Clock.Now()
-	status, err := p.control(ctx, sampleTimeout, func(l rosemary.Link, deadline time.Time) (rosemary.Status, error) {
+	status, err := p.control(ctx, sampleTimeout, func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
 		return l.Status(deadline)
 	})
 	switch {
@@ -124,7 +124,7 @@
 }
 
 // control runs a call on a link of its own.
-func (p *place) control(ctx context.Context, timeout time.Duration, call func(rosemary.Link, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
+func (p *place) control(ctx context.Context, timeout time.Duration, call func(rosemary.Conn, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
 	for {
 		h, ok, others := p.pool.takeForControl()
 		if !ok {
@@ -161,7 +161,7 @@
 func (p *place) dial(ctx context.Context) (*held, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	l, err := p.group.config.Dialer.OpenLink(ctx, p.group.config.Name, p.target)
+	l, err := p.group.config.Dialer.DialTarget(ctx, p.group.config.Name, p.target)
 	if err == nil {
 		return &held{link: l, takenAt: time.Now()}, nil
 	}
@@ -174,7 +174,7 @@
 }
 
 // Control runs a control call on a target.
-func (g *Group) Control(ctx context.Context, id rosemary.TargetID, timeout time.Duration, call func(rosemary.Link, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
+func (g *Group) Control(ctx context.Context, id rosemary.TargetID, timeout time.Duration, call func(rosemary.Conn, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
 	g.mu.Lock()
 	p := g.places[id]
 	g.mu.Unlock()
--- a/pkg/rosefleet/shared_test.go
+++ b/pkg/rosefleet/shared_test.go
@@ -52,7 +52,7 @@
 type statusDialer time.Duration
 
 // OpenLink opens a link.
-func (d statusDialer) OpenLink(_ context.Context, _ string, target rosemary.Target) (rosemary.Link, error) {
+func (d statusDialer) DialTarget(_ context.Context, _ string, target rosemary.Target) (rosemary.Conn, error) {
 	return statusLink{target.ID, time.Duration(d)}, nil
 }
 
@@ -65,12 +65,12 @@
 				Name: "g", Zone: "z", Dialer: statusDialer(2 * time.Millisecond), Clock: roseclock.Runtime{},
 			})
 			defer g.Close()
-			var listings []rosemary.Listing
+			var listings []rosemary.TargetRegistration
 			var ids []rosemary.TargetID
 			for i := 1; i <= 3; i++ {
 				id := rosemary.TargetID(fmt.Sprint("t-", i))
 				ids = append(ids, id)
-				listings = append(listings, rosemary.Listing{Target: rosemary.Target{ID: id, Zone: "z"}, Group: "g", Slots: 3})
+				listings = append(listings, rosemary.TargetRegistration{Target: rosemary.Target{ID: id, Zone: "z"}, Group: "g", Slots: 3})
 			}
 			g.Update(listings, rosefleet.Links{Share: 4, Most: 4})
 			started := time.Now()
--- a/pkg/rosegroup/controller.go
+++ b/pkg/rosegroup/controller.go
@@ -249,19 +249,19 @@
 
 // Confirm waits until the fate of the record at p is known. The error is
 // ctx's when it isn't known in time.
-func (c *Controller) Confirm(ctx context.Context, p rosemary.Position) (rosemary.Fate, error) {
+func (c *Controller) Confirm(ctx context.Context, p rosemary.Position) (rosemary.RecordState, error) {
 	for {
 		c.mu.Lock()
 		fate := c.facts.Fate(p)
 		changed := c.changed
 		c.mu.Unlock()
-		if fate != rosemary.FateUnknown {
+		if fate != rosemary.RecordUnknown {
 			return fate, nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return rosemary.FateUnknown, ctx.Err()
+			return rosemary.RecordUnknown, ctx.Err()
 		}
 	}
 }
--- a/pkg/rosegroup/facts.go
+++ b/pkg/rosegroup/facts.go
@@ -138,8 +138,8 @@
 
 // Fate tells whether the record at p is acknowledged, lost for good, or
 // neither yet.
-func (f *Facts) Fate(p rosemary.Position) rosemary.Fate {
-	return f.history.FateOf(p, f.confirmed)
+func (f *Facts) Fate(p rosemary.Position) rosemary.RecordState {
+	return f.history.RecordState(p, f.confirmed)
 }
 
 // CurrentAt returns the latest time at which term is known to have been in
--- a/pkg/rosegroup/leadership.go
+++ b/pkg/rosegroup/leadership.go
@@ -132,12 +132,12 @@
 	if !s.seen {
 		return 0
 	}
-	return s.status.Held
+	return s.status.PausedTerm
 }
 
 // free reports whether the target is a replica that isn't fenced.
 func (s *seat) free() bool {
-	return s.seen && s.status.Role == rosemary.RoleReplica && s.status.Held == 0
+	return s.seen && s.status.Role == rosemary.RoleReplica && s.status.PausedTerm == 0
 }
 
 // Deposed records that a target refused work that only a primary takes.
--- a/pkg/rosegroup/leadership_test.go
+++ b/pkg/rosegroup/leadership_test.go
@@ -29,7 +29,7 @@
 }
 
 func (l *leadership) replica(id rosemary.TargetID, term, held uint64) {
-	l.Note(rosemary.Status{Target: id, Role: rosemary.RoleReplica, Term: term, Held: held}, l.now)
+	l.Note(rosemary.Status{Target: id, Role: rosemary.RoleReplica, Term: term, PausedTerm: held}, l.now)
 }
 
 func (l *leadership) holds(id rosemary.TargetID, term uint64) bool { return l.Holds(id, term, l.now) }
--- a/pkg/rosegroup/permission_explore_test.go
+++ b/pkg/rosegroup/permission_explore_test.go
@@ -73,7 +73,7 @@
 	case r.promoted:
 		status.Term = 2
 	case r.held:
-		status.Held = 2
+		status.PausedTerm = 2
 	}
 	return status
 }
@@ -104,7 +104,7 @@
 	text := fmt.Sprint(e.now, e.held, e.fencedAt, e.checkedAt, e.effectAt, e.restarts, e.restarted, e.asked, e.askedAt, e.answered, e.answer)
 	for _, id := range exploreReplicas {
 		s := e.proxy.seats[id]
-		text += fmt.Sprint(" ", s.seen, s.status.Held, s.status.Term, s.sentAt.UnixMilli(), s.freeSince.UnixMilli())
+		text += fmt.Sprint(" ", s.seen, s.status.PausedTerm, s.status.Term, s.sentAt.UnixMilli(), s.freeSince.UnixMilli())
 	}
 	return text
 }
--- a/pkg/rosemary/group.go
+++ b/pkg/rosemary/group.go
@@ -25,7 +25,7 @@
 	// Slots is the number of statements that a target runs at once.
 	Slots int
 	// Connections is the number of connections that a target accepts.
-	Connections int
+	MaxConnections int
 }
 
 // Quorum returns the number of targets that an acknowledged write is on.
@@ -57,7 +57,7 @@
 	// MaxAge bounds the age of the data that a replica may serve.
 	MaxAge time.Duration
 	// OwnWrites makes reads within MaxAge see the session's own writes too.
-	OwnWrites bool
+	ReadYourWrites bool
 	// Idempotent allows the statement to be sent again after a failure.
 	Idempotent bool
 	// Deadline bounds the time to an answer.
--- a/pkg/rosemary/interfaces.go
+++ b/pkg/rosemary/interfaces.go
@@ -57,8 +57,8 @@
 	Weight int
 }
 
-// Roster is the platform's lagging list of VMs.
-type Roster interface {
+// MemberSource is the platform's lagging list of VMs.
+type MemberSource interface {
 	// Members returns the list as the platform knows it now.
 	Members(ctx context.Context) ([]Member, error)
 }
--- a/pkg/rosemary/keyvalue.go
+++ b/pkg/rosemary/keyvalue.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// ErrHistoryLost is the error of KeyValue.Changes when the store no longer
+// ErrCompacted is the error of KeyValue.Changes when the store no longer
 // has the changes after the revision asked for; list the keys anew.
-var ErrHistoryLost = errors.New("the store has dropped the changes asked for; list the keys anew")
+var ErrCompacted = errors.New("the store has dropped the changes asked for; list the keys anew")
 
 // Item is a key of the platform's store with its value.
 type Item struct {
@@ -17,7 +17,7 @@
 	// Revision is that of the last change.
 	Revision int64
 	// Created is the revision at which the key came into being.
-	Created int64
+	CreateRevision int64
 	// Lease is zero for a key that outlives its writer.
 	Lease int64
 }
@@ -28,16 +28,16 @@
 	Deleted bool
 }
 
-// Expectation is a revision that a key must have; zero means absent.
-type Expectation struct {
+// Precondition is a revision that a key must have; zero means absent.
+type Precondition struct {
 	Key      string
 	Revision int64
 }
 
 // Change is a set of writes that takes effect as a whole, or not at all.
 type Change struct {
-	Expect []Expectation
-	Writes []Item
+	Preconditions []Precondition
+	Writes        []Item
 	// Deletes lists keys to remove.
 	Deletes []string
 }
@@ -60,9 +60,9 @@
 	// when the lease of a write has ended.
 	Apply(ctx context.Context, change Change) (int64, error)
 	// Grant returns a new lease and the lifetime that applies.
-	Grant(ctx context.Context, lifetime time.Duration) (int64, time.Duration, error)
+	GrantLease(ctx context.Context, lifetime time.Duration) (int64, time.Duration, error)
 	// Renew extends a lease, or returns trace.NotFound once it has ended.
-	Renew(ctx context.Context, lease int64) error
+	RenewLease(ctx context.Context, lease int64) error
 	// End removes a lease with its keys.
-	End(ctx context.Context, lease int64) error
+	RevokeLease(ctx context.Context, lease int64) error
 }
--- a/pkg/rosemary/refusal.go
+++ b/pkg/rosemary/refusal.go
@@ -21,44 +21,44 @@
 
 // Kinds of refusal.
 const (
-	KindOverloaded    Kind = "overloaded"
-	KindDeadline      Kind = "deadline"
-	KindNoPrimary     Kind = "no-primary"
-	KindNoReplica     Kind = "no-replica"
-	KindUnconfirmed   Kind = "unconfirmed"
-	KindConnection    Kind = "connection-lost"
-	KindDraining      Kind = "draining"
-	KindUnsupported   Kind = "unsupported"
-	KindUnknownClass  Kind = "unknown-class"
-	KindBadToken      Kind = "bad-token"
-	KindDuplicate     Kind = "duplicate-request"
-	KindAuth          Kind = "authentication"
-	KindDatabase      Kind = "unknown-database"
-	KindProtocol      Kind = "protocol"
-	KindReadOnlyClass Kind = "read-only-class"
-	KindAborted       Kind = "aborted"
-	KindUnprepared    Kind = "unknown-statement"
+	KindOverloaded       Kind = "overloaded"
+	KindDeadline         Kind = "deadline"
+	KindNoPrimary        Kind = "no-primary"
+	KindNoReplica        Kind = "no-replica"
+	KindUnconfirmed      Kind = "unconfirmed"
+	KindConnectionLost   Kind = "connection-lost"
+	KindDraining         Kind = "draining"
+	KindUnsupported      Kind = "unsupported"
+	KindUnknownClass     Kind = "unknown-class"
+	KindBadToken         Kind = "bad-token"
+	KindDuplicateRequest Kind = "duplicate-request"
+	KindAuthentication   Kind = "authentication"
+	KindUnknownDatabase  Kind = "unknown-database"
+	KindProtocol         Kind = "protocol"
+	KindReadOnlyClass    Kind = "read-only-class"
+	KindAborted          Kind = "aborted"
+	KindUnknownStatement Kind = "unknown-statement"
 )
 
 // sqlStates maps a kind to the SQLSTATE that callers see.
 var sqlStates = map[Kind]string{
-	KindOverloaded:    "53000",
-	KindDeadline:      "57014",
-	KindNoPrimary:     "57P03",
-	KindNoReplica:     "57P03",
-	KindUnconfirmed:   "08007",
-	KindConnection:    "08006",
-	KindDraining:      "57P01",
-	KindUnsupported:   "0A000",
-	KindUnknownClass:  "22023",
-	KindBadToken:      "22023",
-	KindDuplicate:     "23505",
-	KindAuth:          "28P01",
-	KindDatabase:      "3D000",
-	KindProtocol:      "08P01",
-	KindReadOnlyClass: "25006",
-	KindAborted:       "40000",
-	KindUnprepared:    "26000",
+	KindOverloaded:       "53000",
+	KindDeadline:         "57014",
+	KindNoPrimary:        "57P03",
+	KindNoReplica:        "57P03",
+	KindUnconfirmed:      "08007",
+	KindConnectionLost:   "08006",
+	KindDraining:         "57P01",
+	KindUnsupported:      "0A000",
+	KindUnknownClass:     "22023",
+	KindBadToken:         "22023",
+	KindDuplicateRequest: "23505",
+	KindAuthentication:   "28P01",
+	KindUnknownDatabase:  "3D000",
+	KindProtocol:         "08P01",
+	KindReadOnlyClass:    "25006",
+	KindAborted:          "40000",
+	KindUnknownStatement: "26000",
 }
 
 // Refusal is the typed error that a caller is answered with.
@@ -111,7 +111,7 @@
 		return refusal
 	}
 	return &Refusal{
-		Kind:    KindConnection,
+		Kind:    KindConnectionLost,
 		Outcome: outcome,
 		Message: err.Error(),
 		Remedy:  "check the target, then ask for the outcome or retry",
--- a/pkg/rosemary/statement.go
+++ b/pkg/rosemary/statement.go
@@ -54,20 +54,20 @@
 	Payload string
 	// Floor, unless zero, is the position that a target must hold to run
 	// the statement.
-	Floor Position
+	MinPosition Position
 }
 
-// Block is the state of a session's transaction.
-type Block uint8
+// TransactionState is the state of a session's transaction.
+type TransactionState uint8
 
 // States of a session's transaction.
 const (
 	// BlockIdle is a session outside any transaction.
-	BlockIdle Block = iota
+	TransactionNone TransactionState = iota
 	// BlockOpen is a session within a transaction.
-	BlockOpen
+	TransactionOpen
 	// BlockFailed is a session whose transaction can only be rolled back.
-	BlockFailed
+	TransactionFailed
 )
 
 // Failure is why a target did not answer a statement with success.
@@ -79,25 +79,25 @@
 	// FailureBusy has not run: the target had no slot.
 	FailureBusy
 	// FailureBehind has not run: the target's log lacks the floor.
-	FailureBehind
+	FailureLagging
 	// FailureReadOnly has not run: the target doesn't lead its group.
 	FailureReadOnly
 	// FailureUnprepared has not run: the target doesn't know the name.
-	FailureUnprepared
+	FailureUnknownStatement
 	// FailureMalformed has not run: the target couldn't read it.
 	FailureMalformed
 	// FailureAborted has not run, and its transaction was rolled back.
 	FailureAborted
 	// FailureFailed ran without success.
-	FailureFailed
+	FailureExecution
 	// FailureTimeout ran into the target's own limit.
 	FailureTimeout
 	// FailureOther is an error that the proxy has no rule for.
 	FailureOther
 )
 
-// HasRun reports whether the statement may have had an effect.
-func (f Failure) HasRun() bool { return f == FailureNone || f >= FailureFailed }
+// MayHaveRun reports whether the statement may have had an effect.
+func (f Failure) MayHaveRun() bool { return f == FailureNone || f >= FailureExecution }
 
 // Answer is what a target made of a statement.
 type Answer struct {
@@ -106,15 +106,15 @@
 	// Failure is FailureNone for a success.
 	Failure Failure
 	// Code and Message are the target's own words of a failure.
-	Code    string
-	Message string
-	Block   Block
+	Code             string
+	Message          string
+	TransactionState TransactionState
 	// Position is that of the target's log, applied; zero when not told.
 	Position Position
 }
 
-// Link is one connection to a target. It serves one exchange at a time.
-type Link interface {
+// Conn is one connection to a target. It serves one exchange at a time.
+type Conn interface {
 	// Exchange sends the statements at once and returns their answers in
 	// order. With an error the answers that came before it are returned,
 	// and the link is to be closed; sent tells whether anything left.
@@ -131,11 +131,11 @@
 	Close()
 }
 
-// LinkDialer opens links. Errors are trace.LimitExceeded when the target has
+// TargetDialer opens links. Errors are trace.LimitExceeded when the target has
 // no connection left, trace.NotFound when another target or group answers at
 // that address, and trace.ConnectionProblem.
-type LinkDialer interface {
-	OpenLink(ctx context.Context, group string, target Target) (Link, error)
+type TargetDialer interface {
+	DialTarget(ctx context.Context, group string, target Target) (Conn, error)
 }
 
 // Promoter asks the platform to make a target the primary of its group.
@@ -143,25 +143,25 @@
 // trace.LimitExceeded, and trace.ConnectionProblem when the outcome is unknown.
 type Promoter interface {
 	// Reach reports whether the platform can be reached, without an order.
-	Reach(ctx context.Context) error
+	Ping(ctx context.Context) error
 	Promote(ctx context.Context, group string, target TargetID, holder string, generation int64) error
 }
 
-// Listing is what the platform knows of one target.
-type Listing struct {
+// TargetRegistration is what the platform knows of one target.
+type TargetRegistration struct {
 	Target
-	Group    string
-	Slots    int
-	Leaving  bool
-	Primary  bool
-	Born     int64
-	Sequence int64
+	Group       string
+	Slots       int
+	Leaving     bool
+	Primary     bool
+	Incarnation int64
+	Sequence    int64
 }
 
 // TargetSource lists the targets that the platform knows. Entries that can't
 // be read are left out and counted.
 type TargetSource interface {
-	Targets(ctx context.Context) (listings []Listing, unreadable int, err error)
+	Targets(ctx context.Context) (listings []TargetRegistration, unreadable int, err error)
 }
 
 // Route is what the configuration says of one database.
@@ -170,16 +170,16 @@
 	Group    string
 	Class    Class
 	// Aim is the time within which callers want the answer.
-	Aim time.Duration
+	LatencyObjective time.Duration
 	// Priority orders waiting requests; 0 goes first.
 	Priority int
 }
 
-// GroupRule is what the configuration says of one group.
-type GroupRule struct {
+// GroupSettings is what the configuration says of one group.
+type GroupSettings struct {
 	Name string
 	// Connections is the number that a target accepts from all proxies.
-	Connections int
+	MaxConnections int
 	// SyncReplicas is the number of replicas that hold a commit when the
 	// target acknowledges it.
 	SyncReplicas int
@@ -190,9 +190,9 @@
 type Configuration struct {
 	Version int64
 	Routes  map[string]Route
-	Groups  map[string]GroupRule
+	Groups  map[string]GroupSettings
 	// TransactionIdle ends a transaction whose caller is silent.
-	TransactionIdle time.Duration
+	TransactionIdleTimeout time.Duration
 	// Text is what the configuration was read from.
 	Text string
 }
--- a/pkg/rosemary/status.go
+++ b/pkg/rosemary/status.go
@@ -52,41 +52,41 @@
 	return history, nil
 }
 
-// Fate tells whether a record is part of a log.
-type Fate int
+// RecordState tells whether a record is part of a log.
+type RecordState int
 
 // Fates of a record with respect to a log.
 const (
-	FateUnknown Fate = iota
-	FateContained
-	FateLost
+	RecordUnknown RecordState = iota
+	RecordPresent
+	RecordLost
 )
 
-// FateOf tells whether a log that ends at end and has history h holds the
+// RecordState tells whether a log that ends at end and has history h holds the
 // record written at p. A log that has not reached p's term leaves it unknown.
-func (h History) FateOf(p, end Position) Fate {
+func (h History) RecordState(p, end Position) RecordState {
 	if p.LogTerm > end.LogTerm {
-		return FateUnknown
+		return RecordUnknown
 	}
 	if p.LogTerm == end.LogTerm {
 		if p.Offset <= end.Offset {
-			return FateContained
+			return RecordPresent
 		}
-		return FateUnknown
+		return RecordUnknown
 	}
 	for i, s := range h {
 		if s.Term != p.LogTerm {
 			continue
 		}
 		if i+1 < len(h) && p.Offset >= h[i+1].Offset {
-			return FateLost
+			return RecordLost
 		}
-		return FateContained
+		return RecordPresent
 	}
 	if len(h) > 0 && p.LogTerm < h[0].Term {
-		return FateUnknown
+		return RecordUnknown
 	}
-	return FateLost
+	return RecordLost
 }
 
 // Status is what a target reports of itself.
@@ -109,9 +109,9 @@
 	// Leaving is set when the target asks for no new work.
 	Leaving bool
 	// Held is the term of a pause; zero while the target receives.
-	Held uint64
+	PausedTerm uint64
 	// Busy and Connections tell how loaded the target is.
-	Busy        int
+	BusySlots   int
 	Connections int
 }
 
--- a/pkg/roserelay/codec.go
+++ b/pkg/roserelay/codec.go
@@ -77,7 +77,7 @@
 		Group:       t.Route.Group,
 		Class:       t.Route.Class.Name,
 		MaxAgeMs:    optional(uint64(t.Route.Class.MaxAge.Milliseconds())),
-		OwnWrites:   optional(t.Route.Class.OwnWrites),
+		OwnWrites:   optional(t.Route.Class.ReadYourWrites),
 		Priority:    optional(uint64(t.Route.Priority)),
 		DeadlineMs:  time.Until(t.Deadline).Milliseconds(),
 		AimMs:       time.Until(t.Aim).Milliseconds(),
@@ -112,7 +112,7 @@
 	task.Route.Group = t.Group
 	task.Route.Priority = int(orZero(t.Priority))
 	task.Route.Class = rosemary.Class{
-		Name: t.Class, MaxAge: time.Duration(orZero(t.MaxAgeMs)) * time.Millisecond, OwnWrites: orZero(t.OwnWrites),
+		Name: t.Class, MaxAge: time.Duration(orZero(t.MaxAgeMs)) * time.Millisecond, ReadYourWrites: orZero(t.OwnWrites),
 	}
 	if len(t.Values) > 0 {
 		task.Values = make(map[string]string, len(t.Values))
@@ -131,7 +131,7 @@
 		Failure:     optional(uint64(r.Answer.Failure)),
 		Code:        optional(r.Answer.Code),
 		Message:     optional(r.Answer.Message),
-		Block:       optional(uint64(r.Answer.Block)),
+		Block:       optional(uint64(r.Answer.TransactionState)),
 		FloorTerm:   optional(r.Floor.LogTerm),
 		FloorOffset: optional(r.Floor.Offset),
 		Uncertain:   optional(r.Uncertain),
@@ -152,7 +152,7 @@
 	result := rosecaller.Result{
 		Answer: rosemary.Answer{
 			Rows: r.Rows, Digest: orZero(r.Digest), Failure: rosemary.Failure(orZero(r.Failure)),
-			Code: orZero(r.Code), Message: orZero(r.Message), Block: rosemary.Block(orZero(r.Block)),
+			Code: orZero(r.Code), Message: orZero(r.Message), TransactionState: rosemary.TransactionState(orZero(r.Block)),
 		},
 		Floor:     rosemary.Position{LogTerm: orZero(r.FloorTerm), Offset: orZero(r.FloorOffset)},
 		Uncertain: orZero(r.Uncertain),
--- a/pkg/roserelay/relay_test.go
+++ b/pkg/roserelay/relay_test.go
@@ -50,7 +50,7 @@
 	e.mu.Lock()
 	e.open++
 	e.mu.Unlock()
-	result.Open, result.Answer.Block = true, rosemary.BlockOpen
+	result.Open, result.Answer.TransactionState = true, rosemary.TransactionOpen
 	return &transaction{executor: e}, result
 }
 
@@ -69,7 +69,7 @@
 func (t *transaction) Next(_ context.Context, task rosecaller.Task) rosecaller.Result {
 	result := t.executor.note(task)
 	if task.Statement.Kind != rosemary.StatementCommit {
-		result.Open, result.Answer.Block = true, rosemary.BlockOpen
+		result.Open, result.Answer.TransactionState = true, rosemary.TransactionOpen
 		return result
 	}
 	t.Rollback()
@@ -124,7 +124,7 @@
 func task(kind rosemary.StatementKind, id string) rosecaller.Task {
 	now := time.Now()
 	return rosecaller.Task{
-		Route: rosemary.Route{Group: "g", Priority: 2, Class: rosemary.Class{Name: "own", MaxAge: 2500 * time.Millisecond, OwnWrites: true}},
+		Route: rosemary.Route{Group: "g", Priority: 2, Class: rosemary.Class{Name: "own", MaxAge: 2500 * time.Millisecond, ReadYourWrites: true}},
 		Owner: 9, Values: map[string]string{"tenant": "red"}, Floor: rosemary.Position{LogTerm: 2, Offset: 5},
 		Prepared:  rosemary.Statement{Kind: rosemary.StatementPrepare, Name: "p1", Writes: true, Payload: "q2"},
 		Statement: rosemary.Statement{ID: id, Kind: kind, Writes: kind == rosemary.StatementWrite, Payload: "WRITE 1 one"},
@@ -168,7 +168,7 @@
 	between(t, 10*time.Millisecond, func(c *qt.C, e *executor, network *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
 		open, result, delivery := client.Begin(context.Background(), home, task(rosemary.StatementWrite, "b1"))
 		c.Assert(delivery, qt.Equals, roserelay.Answered)
-		c.Assert(result.Answer.Block, qt.Equals, rosemary.BlockOpen)
+		c.Assert(result.Answer.TransactionState, qt.Equals, rosemary.TransactionOpen)
 		network.SetBlocked(func(_, _ rosenet.Place) bool { return true })
 		next := task(rosemary.StatementCommit, "b2")
 		next.Deadline = time.Now().Add(10 * time.Second)
--- a/pkg/roserelay/server.go
+++ b/pkg/roserelay/server.go
@@ -335,7 +335,7 @@
 		Message: "the proxy that held the transaction rolled it back to shut down", Remedy: "run the transaction again", RetryAfter: time.Millisecond,
 	})
 	if task.Statement.Kind != rosemary.StatementCommit {
-		result.Answer.Block = rosemary.BlockFailed
+		result.Answer.TransactionState = rosemary.TransactionFailed
 	}
 	return result
 }
--- a/pkg/rosestore/roster.go
+++ b/pkg/rosestore/roster.go
@@ -15,7 +15,7 @@
 	client *Client
 }
 
-var _ rosemary.Roster = (*Roster)(nil)
+var _ rosemary.MemberSource = (*Roster)(nil)
 
 // NewRoster returns a roster at the client's address.
 func NewRoster(client *Client) *Roster { return &Roster{client: client} }
--- a/pkg/rosesupervisor/duty.go
+++ b/pkg/rosesupervisor/duty.go
@@ -191,7 +191,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if err := d.config.Store.End(ctx, lease); err != nil {
+	if err := d.config.Store.RevokeLease(ctx, lease); err != nil {
 		klog.InfoS("lease not returned, it will expire", "lease", lease, "err", roselog.Err(err))
 	}
 }
@@ -265,7 +265,7 @@
 	d.mu.Unlock()
 	sentAt := d.config.Clock.Now()
 	if lease != 0 {
-		err := d.config.Store.Renew(ctx, lease)
+		err := d.config.Store.RenewLease(ctx, lease)
 		switch {
 		case err == nil:
 			d.mu.Lock()
@@ -299,7 +299,7 @@
 // register gets a lease and writes this proxy's member key.
 func (d *Duty) register(ctx context.Context) bool {
 	sentAt := d.config.Clock.Now()
-	lease, lifetime, err := d.config.Store.Grant(ctx, dutyLifetime)
+	lease, lifetime, err := d.config.Store.GrantLease(ctx, dutyLifetime)
 	if err != nil {
 		d.fail(0, err)
 		return false
@@ -452,8 +452,8 @@
 	defer cancel()
 	key := d.config.Prefix + dutyPrefix + group
 	_, err := d.config.Store.Apply(ctx, rosemary.Change{
-		Expect:  []rosemary.Expectation{{Key: key, Revision: generation}},
-		Deletes: []string{key},
+		Preconditions: []rosemary.Precondition{{Key: key, Revision: generation}},
+		Deletes:       []string{key},
 	})
 	klog.InfoS("duty handed over", "group", group, "generation", generation, "zone", zone, "err", roselog.Err(err))
 }
@@ -468,8 +468,8 @@
 		return
 	}
 	generation, err := d.config.Store.Apply(ctx, rosemary.Change{
-		Expect: []rosemary.Expectation{{Key: key, Revision: revision}},
-		Writes: []rosemary.Item{{Key: key, Value: value, Lease: lease}},
+		Preconditions: []rosemary.Precondition{{Key: key, Revision: revision}},
+		Writes:        []rosemary.Item{{Key: key, Value: value, Lease: lease}},
 	})
 	if err != nil {
 		// A change without an answer may have taken effect.
--- a/pkg/rosesupervisor/explore_test.go
+++ b/pkg/rosesupervisor/explore_test.go
@@ -220,9 +220,9 @@
 	}
 	for write := uint8(1); write <= w.state.writes; write++ {
 		switch w.facts.Fate(w.state.places[write]) {
-		case rosemary.FateContained:
+		case rosemary.RecordPresent:
 			w.state.acked |= 1 << write
-		case rosemary.FateLost:
+		case rosemary.RecordLost:
 			w.state.lost |= 1 << write
 		}
 	}
--- a/pkg/rosesupervisor/replace.go
+++ b/pkg/rosesupervisor/replace.go
@@ -290,7 +290,7 @@
 // heldAbove reports whether a replica is fenced for a term that hasn't begun.
 func heldAbove(view rosefleet.View) bool {
 	for _, t := range view.Targets {
-		if t.Status.Held > view.Term {
+		if t.Status.PausedTerm > view.Term {
 			return true
 		}
 	}
@@ -305,20 +305,20 @@
 			continue
 		}
 		switch {
-		case t.Status.Held > 0 && t.Status.Held <= view.Lead.Term:
-			r.order(ctx, t.ID, "resume", func(l rosemary.Link, deadline time.Time) (rosemary.Status, error) { return l.Resume(deadline) })
+		case t.Status.PausedTerm > 0 && t.Status.PausedTerm <= view.Lead.Term:
+			r.order(ctx, t.ID, "resume", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return l.Resume(deadline) })
 		case t.Status.Role == rosemary.RolePrimary && t.Status.Term < view.Lead.Term:
-			r.order(ctx, t.ID, "step down", func(l rosemary.Link, deadline time.Time) (rosemary.Status, error) {
+			r.order(ctx, t.ID, "step down", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
 				return l.StepDown(deadline, view.Lead.Term)
 			})
 		}
 	}
 }
 
-func (r *Replacer) order(ctx context.Context, id rosemary.TargetID, what string, call func(rosemary.Link, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
+func (r *Replacer) order(ctx context.Context, id rosemary.TargetID, what string, call func(rosemary.Conn, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
 	status, err := r.config.Group.Control(ctx, id, orderTimeout, call)
 	klog.InfoS("order given", "group", r.config.Group.Name(), "target", id, "order", what,
-		"role", status.Role, "term", status.Term, "held", status.Held, "position", status.Position.String(), "err", roselog.Err(err))
+		"role", status.Role, "term", status.Term, "held", status.PausedTerm, "position", status.Position.String(), "err", roselog.Err(err))
 	return status, err
 }
 
@@ -403,7 +403,7 @@
 func (r *Replacer) reach(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return r.config.Promoter.Reach(ctx)
+	return r.config.Promoter.Ping(ctx)
 }
 
 // demote has the present primary step down: always for a planned replacement,
@@ -412,7 +412,7 @@
 	if !view.LeadKnown || need != NeedMove && view.LeadView.FailingFor > 0 {
 		return false, rosemary.Status{}
 	}
-	status, err := r.order(ctx, view.Lead.Target, "step down", func(l rosemary.Link, deadline time.Time) (rosemary.Status, error) {
+	status, err := r.order(ctx, view.Lead.Target, "step down", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
 		return l.StepDown(deadline, term)
 	})
 	return err == nil && status.Role == rosemary.RoleReplica, status
@@ -430,10 +430,10 @@
 		}
 		tasks.Go(func() error {
 			if steppedDown {
-				answers[i], errs[i] = r.order(ctx, t.ID, "status", func(l rosemary.Link, deadline time.Time) (rosemary.Status, error) { return l.Status(deadline) })
+				answers[i], errs[i] = r.order(ctx, t.ID, "status", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return l.Status(deadline) })
 				return nil
 			}
-			answers[i], errs[i] = r.order(ctx, t.ID, "pause", func(l rosemary.Link, deadline time.Time) (rosemary.Status, error) { return l.Pause(deadline, term) })
+			answers[i], errs[i] = r.order(ctx, t.ID, "pause", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return l.Pause(deadline, term) })
 			return nil
 		})
 	}
@@ -443,7 +443,7 @@
 		if t.ID == view.Lead.Target && view.LeadKnown {
 			continue
 		}
-		held := errs[i] == nil && (steppedDown || answers[i].Held > 0)
+		held := errs[i] == nil && (steppedDown || answers[i].PausedTerm > 0)
 		if held {
 			fenced = append(fenced, answers[i])
 			continue
@@ -465,10 +465,10 @@
 	var tasks errgroup.Group
 	for _, s := range fenced {
 		tasks.Go(func() error {
-			status, err := r.config.Group.Control(ctx, s.Target, orderTimeout, func(l rosemary.Link, deadline time.Time) (rosemary.Status, error) {
+			status, err := r.config.Group.Control(ctx, s.Target, orderTimeout, func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
 				return l.Status(deadline)
 			})
-			if err == nil && status.Held < s.Held {
+			if err == nil && status.PausedTerm < s.PausedTerm {
 				return trace.CompareFailed("target %s has lost its fence", s.Target)
 			}
 			return trace.Wrap(err)
@@ -482,8 +482,8 @@
 func (r *Replacer) unfence(ctx context.Context, view rosefleet.View, fenced []rosemary.Status) {
 	for _, s := range fenced {
 		before := slices.IndexFunc(view.Targets, func(t rosefleet.TargetView) bool { return t.ID == s.Target })
-		if before >= 0 && view.Targets[before].Status.Held == 0 {
-			_, _ = r.order(ctx, s.Target, "resume", func(l rosemary.Link, deadline time.Time) (rosemary.Status, error) { return l.Resume(deadline) })
+		if before >= 0 && view.Targets[before].Status.PausedTerm == 0 {
+			_, _ = r.order(ctx, s.Target, "resume", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return l.Resume(deadline) })
 		}
 	}
 }
@@ -497,7 +497,7 @@
 			if s.Target != old.Target && s.Position.AtLeast(old.Position) && !leaving(view, s.Target) {
 				return known
 			}
-			status, err := r.config.Group.Control(ctx, s.Target, orderTimeout, func(l rosemary.Link, deadline time.Time) (rosemary.Status, error) {
+			status, err := r.config.Group.Control(ctx, s.Target, orderTimeout, func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
 				return l.Status(deadline)
 			})
 			if err == nil && s.Target != old.Target {
--- a/pkg/rosesupervisor/replace_test.go
+++ b/pkg/rosesupervisor/replace_test.go
@@ -12,7 +12,7 @@
 )
 
 func seen(id string) rosefleet.TargetView {
-	return rosefleet.TargetView{Listing: rosemary.Listing{Target: rosemary.Target{ID: rosemary.TargetID(id)}}, SeenAt: time.Unix(1, 0)}
+	return rosefleet.TargetView{TargetRegistration: rosemary.TargetRegistration{Target: rosemary.Target{ID: rosemary.TargetID(id)}}, SeenAt: time.Unix(1, 0)}
 }
 
 // led is a group that a leads.
@@ -42,7 +42,7 @@
 		}, NeedNothing},
 		{"a promotion left half-way", func(v *rosefleet.View) {
 			v.Certain = false
-			v.Targets[1].Status.Held = 2
+			v.Targets[1].Status.PausedTerm = 2
 		}, NeedPrimary},
 		{"uncertain without a fence", func(v *rosefleet.View) { v.Certain = false }, NeedNothing},
 		{"nothing heard yet", func(v *rosefleet.View) { v.Term = 0 }, NeedNothing},
