--- a/internal/rosedaemon/backend.go
+++ b/internal/rosedaemon/backend.go
@@ -39,7 +39,7 @@
 	router   *roseroute.Router
 	// supervisor keeps the group led.
 	supervisor *rosesupervisor.Supervisor
-	share      roselend.Share
+	share      roselend.Quota
 	loans      map[rosemary.TargetID]loan
 	cancel     context.CancelFunc
 	done       sync.WaitGroup
@@ -57,7 +57,7 @@
 	controls := make(map[rosemary.TargetID]rosemary.TargetControl)
 	probes := make(map[rosemary.TargetID]rosemary.TargetControl)
 	b.share = d.divide(group.MaxConnections)
-	share := b.share.Floor
+	share := b.share.Reserved
 	for _, t := range group.Targets {
 		config := rosepool.Config{
 			Target:      t,
@@ -150,7 +150,7 @@
 	klog.InfoS("primary changed", "proxy", d.config.Name, "database", change.Database, "primary", change.Primary, "term", change.Term)
 }
 
-func (d *Daemon) divide(connections int) roselend.Share {
+func (d *Daemon) divide(connections int) roselend.Quota {
 	if d.config.Baseline.EvenSplit {
 		return roselend.DivideEvenly(connections, d.config.Proxies)
 	}
--- a/internal/rosedaemon/lend.go
+++ b/internal/rosedaemon/lend.go
@@ -40,7 +40,7 @@
 	if !roseclock.Sleep(ctx, askPause) {
 		return false
 	}
-	timer := time.NewTimer(roselend.AskInterval)
+	timer := time.NewTimer(roselend.RequestInterval)
 	defer timer.Stop()
 	select {
 	case <-d.queued:
@@ -83,15 +83,15 @@
 // connections to it are of no use.
 func (b *backend) want(id rosemary.TargetID) int {
 	load := b.queues[id].Load()
-	if load.Limit < load.Max {
-		return min(max(load.InFlight-b.share.Floor, 0), b.share.Rest)
+	if load.Limit < load.MaxInFlight {
+		return min(max(load.InFlight-b.share.Reserved, 0), b.share.Lendable)
 	}
-	return min(max(load.InFlight+load.Queued-b.share.Floor, 0), b.share.Rest)
+	return min(max(load.InFlight+load.Queued-b.share.Reserved, 0), b.share.Lendable)
 }
 
 // limit applies the floor and the loan of a target.
 func (b *backend) limit(id rosemary.TargetID) {
-	limit := b.share.Floor + b.loans[id].extra
+	limit := b.share.Reserved + b.loans[id].extra
 	b.pools[id].SetLimit(limit)
 	b.queues[id].SetMaxInFlight(limit)
 }
@@ -115,8 +115,8 @@
 	if b == nil {
 		return rosewire.Grant{Target: ask.Target}
 	}
-	want := int(min(ask.Want, uint64(b.share.Rest)))
-	extra := d.lender.Grant(time.Now(), id, from, want, b.share.Rest)
+	want := int(min(ask.Want, uint64(b.share.Lendable)))
+	extra := d.lender.Grant(time.Now(), id, from, want, b.share.Lendable)
 	return rosewire.Grant{Target: ask.Target, Extra: uint64(extra)}
 }
 
@@ -131,8 +131,8 @@
 		return
 	}
 	held := b.loans[id]
-	held.extra = int(min(grant.Extra, uint64(b.share.Rest)))
-	held.until = held.askedAt.Add(roselend.Hold)
+	held.extra = int(min(grant.Extra, uint64(b.share.Lendable)))
+	held.until = held.askedAt.Add(roselend.LoanDuration)
 	b.loans[id] = held
 	b.limit(id)
 }
--- a/internal/rosedaemon/peers.go
+++ b/internal/rosedaemon/peers.go
@@ -172,5 +172,5 @@
 	if b == nil {
 		return "", unknownDatabase(database)
 	}
-	return b.supervisor.Move(ctx, to)
+	return b.supervisor.MovePrimary(ctx, to)
 }
--- a/internal/rosefront/filter_check.go
+++ b/internal/rosefront/filter_check.go
@@ -12,7 +12,7 @@
 // checkFilter refuses what can't be served on a shared connection.
 func checkFilter(s *Server, next handler) handler {
 	return func(ctx context.Context, r *request) error {
-		s.budget.Earn()
+		s.budget.Deposit()
 		if r.classError != nil {
 			return r.classError
 		}
--- a/internal/rosefront/filter_retry.go
+++ b/internal/rosefront/filter_retry.go
@@ -24,7 +24,7 @@
 		inBlock := r.caller.lease != nil
 		for {
 			err := next(ctx, r)
-			if inBlock || r.answer.streamed || !r.again(err) || !s.budget.Spend() {
+			if inBlock || r.answer.streamed || !r.again(err) || !s.budget.TryWithdraw() {
 				return err
 			}
 			if !roseclock.Sleep(ctx, retryPause) {
--- a/internal/rosefront/server.go
+++ b/internal/rosefront/server.go
@@ -74,7 +74,7 @@
 type Server struct {
 	config  Config
 	chain   handler
-	budget  *roseadmit.Budget
+	budget  *roseadmit.RetryBudget
 	sockets atomic.Int64
 	tasks   sync.WaitGroup
 
@@ -98,7 +98,7 @@
 	}
 	s := &Server{
 		config:   config,
-		budget:   roseadmit.NewBudget(),
+		budget:   roseadmit.NewRetryBudget(),
 		draining: make(chan struct{}),
 		callers:  make(map[uint32]*caller),
 	}
--- a/internal/rosenode/follow.go
+++ b/internal/rosenode/follow.go
@@ -236,9 +236,9 @@
 	}
 	n.groups[name] = g
 	g.replacer = rosesupervisor.NewReplacer(rosesupervisor.ReplacerConfig{
-		Self: n.config.Self.Proxy, Group: g.Group, Duty: n.duty, Promoter: n.config.Promoter, Clock: n.config.Clock,
-		Voters: peers{n.mesh},
-		Homes:  func() int { return n.homeCount(name) },
+		Self: n.config.Self.Proxy, Group: g.Group, Locks: n.duty, Promoter: n.config.Promoter, Clock: n.config.Clock,
+		Voters:     peers{n.mesh},
+		ProxyCount: func() int { return n.homeCount(name) },
 	})
 	n.tasks.Go(func() { g.replacer.Run(ctx) })
 	return g
--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -46,8 +46,8 @@
 // Node is one proxy. Its methods may be called concurrently.
 type Node struct {
 	config  Config
-	duty    *rosesupervisor.Duty
-	budget  *roseadmit.Budget
+	duty    *rosesupervisor.LockManager
+	budget  *roseadmit.RetryBudget
 	mesh    *rosepeer.Mesh
 	carrier *rosecaller.Carrier
 	relays  *roserelay.Server
@@ -100,7 +100,7 @@
 	}
 	n := &Node{
 		config:  config,
-		budget:  roseadmit.NewBudget(),
+		budget:  roseadmit.NewRetryBudget(),
 		metrics: NewMetrics(),
 		started: time.Now(),
 		groups:  make(map[string]*group),
@@ -111,16 +111,16 @@
 	n.carrier = rosecaller.NewCarrier(rosecaller.CarrierConfig{Group: n.Group, Budget: n.budget})
 	n.relays = roserelay.NewServer(roserelay.ServerConfig{Executor: here{n}})
 	n.homes = roserelay.NewClient(roserelay.ClientConfig{Dialer: config.Dialer})
-	n.duty = rosesupervisor.NewDuty(rosesupervisor.DutyConfig{
-		Store:       config.Store,
-		Clock:       config.Clock,
-		Self:        config.Self,
-		Incarnation: config.Incarnation,
-		Prefix:      keyPrefix,
-		Groups:      n.homeGroups,
-		Peers:       peers{n.mesh},
-		Avoid:       n.primaryZone,
-		Urgent:      n.lacksPrimary,
+	n.duty = rosesupervisor.NewLockManager(rosesupervisor.LockManagerConfig{
+		Store:          config.Store,
+		Clock:          config.Clock,
+		Self:           config.Self,
+		Incarnation:    config.Incarnation,
+		Prefix:         keyPrefix,
+		Groups:         n.homeGroups,
+		Peers:          peers{n.mesh},
+		PrimaryZone:    n.primaryZone,
+		PrimaryMissing: n.lacksPrimary,
 	})
 	return n
 }
--- a/internal/rosenode/peers.go
+++ b/internal/rosenode/peers.go
@@ -245,7 +245,7 @@
 		g.Suspect(target)
 		return rosewire.Reply{Yes: true, Known: true}
 	case rosepeer.AboutComplaint:
-		g.replacer.Complaint(from, target)
+		g.replacer.RecordUnreachable(from, target)
 		return rosewire.Reply{Yes: true, Known: true}
 	}
 	return rosewire.Reply{}
@@ -259,7 +259,7 @@
 
 // Reach counts the proxies that replied, those that reach a target, and those
 // that don't.
-func (p peers) Reach(ctx context.Context, group string, target rosemary.TargetID) (replied, reach, miss int) {
+func (p peers) PollReachability(ctx context.Context, group string, target rosemary.TargetID) (replied, reach, miss int) {
 	replies, _ := p.mesh.Survey(ctx, rosewire.Question{About: rosepeer.AboutReach, Group: group, Target: string(target)})
 	for _, r := range replies {
 		switch {
@@ -273,7 +273,7 @@
 }
 
 // Stop has all give up relying on the primary of term.
-func (p peers) Stop(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID) {
+func (p peers) StopUsingPrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID) {
 	replies, asked := p.mesh.Survey(ctx, rosewire.Question{About: rosepeer.AboutStop, Group: group, Term: term})
 	return agreeing(replies), asked
 }
@@ -284,7 +284,7 @@
 }
 
 // Complain tells all that this proxy can't reach the target.
-func (p peers) Complain(ctx context.Context, group string, target rosemary.TargetID) {
+func (p peers) ReportUnreachable(ctx context.Context, group string, target rosemary.TargetID) {
 	p.tell(ctx, rosepeer.AboutComplaint, group, target)
 }
 
--- a/internal/rosenode/placement.go
+++ b/internal/rosenode/placement.go
@@ -78,7 +78,7 @@
 		return false
 	}
 	repeatable := refusal.Outcome == rosemary.OutcomeNotRun || !task.Statement.Writes && task.Statement.Kind != rosemary.StatementCommit
-	if !repeatable || !p.node.budget.Spend() {
+	if !repeatable || !p.node.budget.TryWithdraw() {
 		return false
 	}
 	klog.InfoS("request passed on elsewhere", "request", task.Statement.ID, "group", task.Route.Group, "home", home.Proxy,
@@ -131,7 +131,7 @@
 func (p placement) homes(task rosecaller.Task) []rosemary.Member {
 	homes := p.node.Homes(task.Route.Group)
 	if len(homes) > 0 {
-		p.node.budget.Earn()
+		p.node.budget.Deposit()
 	}
 	return homes
 }
--- a/pkg/roseadmit/budget.go
+++ b/pkg/roseadmit/budget.go
@@ -14,28 +14,28 @@
 	maxRetries = 100.0
 )
 
-// Budget bounds retries to a share of requests, so that a failure doesn't
+// RetryBudget bounds retries to a share of requests, so that a failure doesn't
 // multiply the load. Its methods may be called concurrently.
-type Budget struct {
+type RetryBudget struct {
 	mu      sync.Mutex
 	balance float64
 	paidAt  time.Time
 }
 
-// NewBudget returns a budget with a second's worth of retries.
-func NewBudget() *Budget {
-	return &Budget{balance: retriesPerSecond, paidAt: time.Now()}
+// NewRetryBudget returns a budget with a second's worth of retries.
+func NewRetryBudget() *RetryBudget {
+	return &RetryBudget{balance: retriesPerSecond, paidAt: time.Now()}
 }
 
-// Earn records a request.
-func (b *Budget) Earn() {
+// Deposit records a request.
+func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.balance = min(b.balance+retryShare, maxRetries)
 }
 
-// Spend reports whether a retry may run.
-func (b *Budget) Spend() bool {
+// TryWithdraw reports whether a retry may run.
+func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
--- a/pkg/roseadmit/queue.go
+++ b/pkg/roseadmit/queue.go
@@ -219,7 +219,7 @@
 	Queued   int
 	Limit    int
 	// Max is the bound that the adaptive limit stays at or below.
-	Max int
+	MaxInFlight int
 	// Latency is the mean time from ticket to release.
 	Latency time.Duration
 }
@@ -228,7 +228,7 @@
 func (q *Queue) Load() Load {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return Load{InFlight: q.inFlight, Queued: len(q.waiting), Limit: q.limit.current(), Max: q.limit.most, Latency: q.limit.latency()}
+	return Load{InFlight: q.inFlight, Queued: len(q.waiting), Limit: q.limit.current(), MaxInFlight: q.limit.most, Latency: q.limit.latency()}
 }
 
 func overloaded(message string, wait time.Duration) *rosemary.Refusal {
--- a/pkg/roseadmit/queue_test.go
+++ b/pkg/roseadmit/queue_test.go
@@ -101,15 +101,15 @@
 
 func TestRetriesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		budget := roseadmit.NewBudget()
+		budget := roseadmit.NewRetryBudget()
 		spent := 0
 		for range 1000 {
-			if budget.Spend() {
+			if budget.TryWithdraw() {
 				spent++
 			}
 		}
 		qt.New(t).Check(spent, qt.Equals, 10)
 		time.Sleep(time.Second)
-		qt.New(t).Check(budget.Spend(), qt.IsTrue)
+		qt.New(t).Check(budget.TryWithdraw(), qt.IsTrue)
 	})
 }
--- a/pkg/rosecaller/carrier.go
+++ b/pkg/rosecaller/carrier.go
@@ -13,7 +13,7 @@
 type CarrierConfig struct {
 	// Group returns the targets of a group.
 	Group  func(name string) (*rosefleet.Group, bool)
-	Budget *roseadmit.Budget
+	Budget *roseadmit.RetryBudget
 }
 
 // Carrier runs tasks on the targets that this proxy has links to.
@@ -28,14 +28,14 @@
 
 // Run runs a statement outside a transaction.
 func (c *Carrier) Run(ctx context.Context, task Task) Result {
-	c.config.Budget.Earn()
+	c.config.Budget.Deposit()
 	j := &job{carrier: c, task: task}
 	return j.result(j.runAlone(ctx, task.Statement))
 }
 
 // Begin opens a transaction with its first statement.
 func (c *Carrier) Begin(ctx context.Context, task Task) (Transaction, Result) {
-	c.config.Budget.Earn()
+	c.config.Budget.Deposit()
 	j := &job{carrier: c, task: task, block: rosemary.TransactionOpen}
 	result := j.result(j.runFirst(ctx, task.Statement))
 	if !result.Open {
--- a/pkg/rosecaller/run.go
+++ b/pkg/rosecaller/run.go
@@ -81,7 +81,7 @@
 	if a.tries >= maxTries || ctx.Err() != nil || !time.Now().Before(a.deadline) {
 		return false
 	}
-	if a.tries > 1 && !j.carrier.config.Budget.Spend() {
+	if a.tries > 1 && !j.carrier.config.Budget.TryWithdraw() {
 		return false
 	}
 	if a.tries > 2 {
--- a/pkg/roselend/lender.go
+++ b/pkg/roselend/lender.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// Hold is how long a borrower may use a loan, from the time of its ask.
-	Hold = 2 * time.Second
-	// AskInterval separates the asks of a borrower for one target.
-	AskInterval = 250 * time.Millisecond
+	// LoanDuration is how long a borrower may use a loan, from the time of its ask.
+	LoanDuration = 2 * time.Second
+	// RequestInterval separates the asks of a borrower for one target.
+	RequestInterval = 250 * time.Millisecond
 	// grace is how much longer the lender keeps a loan on its books, so that
 	// it is never lent twice while a borrower may still use it.
 	grace = time.Second
 )
 
-// Share is the division of a target's connections.
-type Share struct {
+// Quota is the division of a target's connections.
+type Quota struct {
 	// Floor is the number that each proxy owns.
-	Floor int
+	Reserved int
 	// Rest is the number that is lent.
-	Rest int
+	Lendable int
 }
 
 // Divide shares connections between proxies, after one control connection for
 // each. Two thirds of an equal part are the floor.
-func Divide(connections, proxies int) Share {
+func Divide(connections, proxies int) Quota {
 	proxies = max(proxies, 1)
 	free := max(connections-proxies, proxies)
 	floor := max(free*2/(3*proxies), 1)
-	return Share{Floor: floor, Rest: max(free-floor*proxies, 0)}
+	return Quota{Reserved: floor, Lendable: max(free-floor*proxies, 0)}
 }
 
 // DivideEvenly shares connections evenly, with nothing to lend.
-func DivideEvenly(connections, proxies int) Share {
+func DivideEvenly(connections, proxies int) Quota {
 	proxies = max(proxies, 1)
-	return Share{Floor: max((connections-proxies)/proxies, 1)}
+	return Quota{Reserved: max((connections-proxies)/proxies, 1)}
 }
 
 // loan is what one borrower has of one target.
@@ -87,6 +87,6 @@
 	if others := len(book); others > 0 {
 		extra = min(extra, max(rest/(others+1), 1))
 	}
-	book[borrower] = loan{extra: extra, until: now.Add(Hold + grace)}
+	book[borrower] = loan{extra: extra, until: now.Add(LoanDuration + grace)}
 	return extra
 }
--- a/pkg/roselend/lender_test.go
+++ b/pkg/roselend/lender_test.go
@@ -15,12 +15,12 @@
 func TestDivide(t *testing.T) {
 	for _, test := range []struct {
 		connections, proxies int
-		want                 roselend.Share
+		want                 roselend.Quota
 	}{
-		{20, 6, roselend.Share{Floor: 1, Rest: 8}},
-		{50, 6, roselend.Share{Floor: 4, Rest: 20}},
-		{4, 6, roselend.Share{Floor: 1, Rest: 0}},
-		{20, 1, roselend.Share{Floor: 12, Rest: 7}},
+		{20, 6, roselend.Quota{Reserved: 1, Lendable: 8}},
+		{50, 6, roselend.Quota{Reserved: 4, Lendable: 20}},
+		{4, 6, roselend.Quota{Reserved: 1, Lendable: 0}},
+		{20, 1, roselend.Quota{Reserved: 12, Lendable: 7}},
 	} {
 		got := roselend.Divide(test.connections, test.proxies)
 		qt.New(t).Check(got, qt.Equals, test.want, qt.Commentf("%d connections, %d proxies", test.connections, test.proxies))
@@ -41,7 +41,7 @@
 			now = now.Add(time.Duration(random.IntN(400)) * time.Millisecond)
 			id := rosemary.ProxyID(fmt.Sprint(random.IntN(borrowers)))
 			using[id] = lender.Grant(now, "t", id, random.IntN(12), rest)
-			until[id] = now.Add(roselend.Hold)
+			until[id] = now.Add(roselend.LoanDuration)
 			total := 0
 			for other, extra := range using {
 				if now.Before(until[other]) {
--- a/pkg/rosesupervisor/decide.go
+++ b/pkg/rosesupervisor/decide.go
@@ -12,28 +12,28 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Need is what a group lacks.
-type Need int
+// Action is what a group lacks.
+type Action int
 
 // Needs of a group.
 const (
 	// NeedNothing is a led group whose targets all follow.
-	NeedNothing Need = iota
+	ActionNone Action = iota
 	// NeedFollow is a target that doesn't follow the primary.
-	NeedFollow
+	ActionFollow
 	// NeedMove is a primary that is leaving.
-	NeedMove
+	ActionSwitchover
 	// NeedPrimary is a group whose primary is gone.
-	NeedPrimary
+	ActionFailover
 	// NeedReunion is a group whose primary answers, but no longer reaches
 	// the targets that it needs to confirm a write.
-	NeedReunion
+	ActionReplaceIsolated
 )
 
 var needNames = []string{"nothing", "follow", "move", "primary", "reunion"}
 
 // String names the need.
-func (n Need) String() string { return needNames[n] }
+func (n Action) String() string { return needNames[n] }
 
 // Delays before a need is acted on, so that a passing state isn't.
 const (
@@ -47,26 +47,26 @@
 // it is acted on. Replicas are the witnesses: a primary is given up only when
 // so many of them say that its log no longer reaches them that it can't
 // confirm a write any more.
-func Assess(group rosemary.Group, view rosegroup.View, leaving func(rosemary.TargetID) bool) (Need, time.Duration) {
+func Assess(group rosemary.Group, view rosegroup.View, leaving func(rosemary.TargetID) bool) (Action, time.Duration) {
 	cutOff, followers := witnesses(view)
 	enough := cutOff >= group.FenceQuorum()
 	switch {
 	case !view.HasPrimary && view.Term > 0 && reachable(view) >= group.FenceQuorum():
-		return NeedPrimary, orphanAfter
+		return ActionFailover, orphanAfter
 	case !view.HasPrimary:
-		return NeedNothing, 0
+		return ActionNone, 0
 	case view.Primary.Reach.Failures > 0 && enough && !followers:
-		return NeedPrimary, 0
+		return ActionFailover, 0
 	case view.Primary.Reach.Down():
-		return NeedNothing, 0
+		return ActionNone, 0
 	case enough && !followers:
-		return NeedReunion, reunionAfter
+		return ActionReplaceIsolated, reunionAfter
 	case stray(view):
-		return NeedFollow, followAfter
+		return ActionFollow, followAfter
 	case leaving(view.Primary.ID) || view.Primary.Status.Leaving:
-		return NeedMove, moveAfter
+		return ActionSwitchover, moveAfter
 	}
-	return NeedNothing, 0
+	return ActionNone, 0
 }
 
 // witnesses counts the reachable targets beside the primary that its log
@@ -114,10 +114,10 @@
 	return s.Term < view.Term || s.Role != rosemary.RoleReplica || s.Primary != view.Primary.ID
 }
 
-// Choose returns the fenced target to promote. It is the greatest of a set
+// ChoosePrimary returns the fenced target to promote. It is the greatest of a set
 // large enough to hold every acknowledged write; avoid is passed over if
 // another one qualifies, and wanted goes before others that do.
-func Choose(group rosemary.Group, fenced []rosemary.Status, avoid func(rosemary.TargetID) bool, wanted rosemary.TargetID) (rosemary.Status, bool) {
+func ChoosePrimary(group rosemary.Group, fenced []rosemary.Status, avoid func(rosemary.TargetID) bool, wanted rosemary.TargetID) (rosemary.Status, bool) {
 	var best rosemary.Status
 	rank := -1
 	for _, candidate := range fenced {
--- a/pkg/rosesupervisor/duty.go
+++ b/pkg/rosesupervisor/duty.go
@@ -64,8 +64,8 @@
 	dutyPrefix   = "Duties/"
 )
 
-// DutyConfig sets up a Duty.
-type DutyConfig struct {
+// LockManagerConfig sets up a Duty.
+type LockManagerConfig struct {
 	Store rosemary.KeyValue
 	// Clock counts suspended time.
 	Clock roseclock.Clock
@@ -81,9 +81,9 @@
 	// Avoid names the availability zone of a group's primary, and since when
 	// it is there: a holder elsewhere outlasts the loss of that zone. Empty
 	// means unknown.
-	Avoid func(group string) (rosemary.Zone, time.Time)
+	PrimaryZone func(group string) (rosemary.Zone, time.Time)
 	// Urgent reports whether a group lacks a primary.
-	Urgent func() bool
+	PrimaryMissing func() bool
 }
 
 // Peers asks the other proxies for their word.
@@ -93,12 +93,12 @@
 	Abstain(ctx context.Context) []rosemary.ProxyID
 }
 
-// Duty keeps this proxy registered, and holds for some groups the sole right
+// LockManager keeps this proxy registered, and holds for some groups the sole right
 // to replace their primary. The right is a key under the proxy's lease; its
 // generation is the store's revision at which it was taken, so a later holder
 // always has a greater one.
-type Duty struct {
-	config DutyConfig
+type LockManager struct {
+	config LockManagerConfig
 
 	mu       sync.Mutex
 	lease    int64
@@ -129,18 +129,18 @@
 	Weight  int
 }
 
-// NewDuty returns a duty that holds nothing; Run starts it.
-func NewDuty(config DutyConfig) *Duty {
-	return &Duty{config: config, held: make(map[string]int64), vacant: make(map[string]time.Time)}
+// NewLockManager returns a duty that holds nothing; Run starts it.
+func NewLockManager(config LockManagerConfig) *LockManager {
+	return &LockManager{config: config, held: make(map[string]int64), vacant: make(map[string]time.Time)}
 }
 
 // Run renews the lease and claims vacant duties until ctx ends, and then
 // returns what it holds.
-func (d *Duty) Run(ctx context.Context) {
+func (d *LockManager) Run(ctx context.Context) {
 	settled := d.config.Clock.Now().Add(formingTime)
 	for ctx.Err() == nil {
 		pause := dutyTick
-		if d.config.Urgent() || d.config.Clock.Now().Before(settled) {
+		if d.config.PrimaryMissing() || d.config.Clock.Now().Before(settled) {
 			pause = urgentTick
 		}
 		if !d.tick(ctx) {
@@ -155,7 +155,7 @@
 // rest lets a pause go by, or less if this proxy's turn to claim a vacant duty
 // comes sooner: the order of claims is finer than the renewals. A claim that
 // fails is not repeated before dutyRetry.
-func (d *Duty) rest(ctx context.Context, pause time.Duration) {
+func (d *LockManager) rest(ctx context.Context, pause time.Duration) {
 	until := d.config.Clock.Now().Add(pause)
 	roseclock.Sleep(ctx, min(pause, dutyRetry))
 	for {
@@ -180,7 +180,7 @@
 }
 
 // release gives the duties and the registration back at once.
-func (d *Duty) release() {
+func (d *LockManager) release() {
 	d.mu.Lock()
 	lease := d.lease
 	d.lease = 0
@@ -198,7 +198,7 @@
 
 // tick renews the lease, and looks for vacant duties. It reports false when
 // the store did not answer.
-func (d *Duty) tick(ctx context.Context) bool {
+func (d *LockManager) tick(ctx context.Context) bool {
 	if !d.keepLease(ctx) {
 		return false
 	}
@@ -221,7 +221,7 @@
 // reach for all: a lease that has run out unseen then still has no successor.
 // Every proxy that was registered has to promise; one that reaches the store
 // doesn't.
-func (d *Duty) ask(ctx context.Context) {
+func (d *LockManager) ask(ctx context.Context) {
 	d.mu.Lock()
 	needed := d.config.Peers != nil && d.failing && len(d.held) > 0
 	members := d.members
@@ -246,7 +246,7 @@
 
 // Abstain promises to claim no duty for a while, if this proxy can't reach the
 // store either and holds none.
-func (d *Duty) Abstain() bool {
+func (d *LockManager) Abstain() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.failing {
@@ -257,7 +257,7 @@
 }
 
 // keepLease renews the lease, or gets one, and reports whether there is one.
-func (d *Duty) keepLease(ctx context.Context) bool {
+func (d *LockManager) keepLease(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, dutyCallTimeout)
 	defer cancel()
 	d.mu.Lock()
@@ -287,7 +287,7 @@
 }
 
 // fail records that the store did not renew the lease, nor end it.
-func (d *Duty) fail(lease int64, err error) {
+func (d *LockManager) fail(lease int64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.failing {
@@ -297,7 +297,7 @@
 }
 
 // register gets a lease and writes this proxy's member key.
-func (d *Duty) register(ctx context.Context) bool {
+func (d *LockManager) register(ctx context.Context) bool {
 	sentAt := d.config.Clock.Now()
 	lease, lifetime, err := d.config.Store.GrantLease(ctx, dutyLifetime)
 	if err != nil {
@@ -325,7 +325,7 @@
 }
 
 // read takes in the members, and returns the claims by group.
-func (d *Duty) read(items []rosemary.Item) map[string]rosemary.Item {
+func (d *LockManager) read(items []rosemary.Item) map[string]rosemary.Item {
 	claims := make(map[string]rosemary.Item)
 	var members []rosemary.Member
 	for _, item := range items {
@@ -350,14 +350,14 @@
 }
 
 // Registered reports whether the store holds this proxy's lease for certain.
-func (d *Duty) Registered() bool {
+func (d *LockManager) Registered() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lease != 0 && d.config.Clock.Now().Before(d.renewedAt.Add(d.lifetime-dutyMargin))
 }
 
 // ReadMembers reads the proxies that are registered now.
-func (d *Duty) ReadMembers(ctx context.Context) ([]rosemary.Member, error) {
+func (d *LockManager) ReadMembers(ctx context.Context) ([]rosemary.Member, error) {
 	items, _, err := d.config.Store.List(ctx, d.config.Prefix+memberPrefix, false)
 	if err != nil {
 		return nil, err
@@ -367,7 +367,7 @@
 }
 
 // Members returns the registered proxies, this one included once it is.
-func (d *Duty) Members() []rosemary.Member {
+func (d *LockManager) Members() []rosemary.Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.members
@@ -375,7 +375,7 @@
 
 // consider claims the duty of a group that nobody holds, or that an earlier
 // start of this proxy held.
-func (d *Duty) consider(ctx context.Context, group string, item rosemary.Item) {
+func (d *LockManager) consider(ctx context.Context, group string, item rosemary.Item) {
 	d.mu.Lock()
 	generation, mine := d.held[group]
 	members := d.members
@@ -412,9 +412,9 @@
 }
 
 // claimPause is how long this proxy leaves a vacant duty to others.
-func (d *Duty) claimPause(group string, members []rosemary.Member) time.Duration {
+func (d *LockManager) claimPause(group string, members []rosemary.Member) time.Duration {
 	pause := time.Duration(d.rank(group, members)) * takeoverPause
-	if zone, _ := d.config.Avoid(group); zone == "" {
+	if zone, _ := d.config.PrimaryZone(group); zone == "" {
 		pause += avoidPause
 	}
 	return pause
@@ -422,8 +422,8 @@
 
 // rank is this proxy's place in the order in which a group's duty is claimed.
 // Proxies in the zone of its primary come last.
-func (d *Duty) rank(group string, members []rosemary.Member) int {
-	zone, _ := d.config.Avoid(group)
+func (d *LockManager) rank(group string, members []rosemary.Member) int {
+	zone, _ := d.config.PrimaryZone(group)
 	var before []rosemary.Member
 	elsewhere := 0
 	for _, m := range members {
@@ -438,8 +438,8 @@
 
 // handOver gives a duty back if its group's primary has long been in this
 // proxy's own zone and another proxy isn't.
-func (d *Duty) handOver(ctx context.Context, group string, generation int64) {
-	zone, since := d.config.Avoid(group)
+func (d *LockManager) handOver(ctx context.Context, group string, generation int64) {
+	zone, since := d.config.PrimaryZone(group)
 	settled := zone == d.config.Self.Zone && d.config.Clock.Now().Sub(since) > handOverAfter
 	elsewhere := slices.ContainsFunc(d.Members(), func(m rosemary.Member) bool { return m.Zone != zone })
 	if !settled || !elsewhere {
@@ -459,7 +459,7 @@
 }
 
 // claim takes a duty whose key is at revision.
-func (d *Duty) claim(ctx context.Context, group string, revision, lease int64) {
+func (d *LockManager) claim(ctx context.Context, group string, revision, lease int64) {
 	ctx, cancel := context.WithTimeout(ctx, 2*dutyCallTimeout)
 	defer cancel()
 	key := d.config.Prefix + dutyPrefix + group
@@ -491,7 +491,7 @@
 
 // Holds returns the generation under which this proxy may replace the primary
 // of a group now, and until when.
-func (d *Duty) Holds(group string) (int64, time.Time, bool) {
+func (d *LockManager) Holds(group string) (int64, time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	generation, held := d.held[group]
--- a/pkg/rosesupervisor/explore_test.go
+++ b/pkg/rosesupervisor/explore_test.go
@@ -271,7 +271,7 @@
 	if len(fenced) < exploreGroup.FenceQuorum() {
 		return false
 	}
-	chosen, found := rosesupervisor.Choose(exploreGroup, fenced, func(rosemary.TargetID) bool { return false }, "")
+	chosen, found := rosesupervisor.ChoosePrimary(exploreGroup, fenced, func(rosemary.TargetID) bool { return false }, "")
 	if v == variantFirstFenced {
 		chosen, found = fenced[0], true
 	}
--- a/pkg/rosesupervisor/promotion.go
+++ b/pkg/rosesupervisor/promotion.go
@@ -30,7 +30,7 @@
 	// Avoid tells which targets are not to be promoted if others can be.
 	Avoid func(rosemary.TargetID) bool
 	// Wanted is promoted before others that qualify; empty has no wish.
-	Wanted rosemary.TargetID
+	Preferred rosemary.TargetID
 }
 
 // fenceAnswer is what one target made of a fence.
@@ -84,7 +84,7 @@
 	if err != nil {
 		return rosemary.Status{}, err
 	}
-	chosen, found := Choose(p.Group, fenced, p.Avoid, p.Wanted)
+	chosen, found := ChoosePrimary(p.Group, fenced, p.Avoid, p.Preferred)
 	if !found {
 		return rosemary.Status{}, trace.CompareFailed("no fenced target holds every acknowledged write")
 	}
--- a/pkg/rosesupervisor/record.go
+++ b/pkg/rosesupervisor/record.go
@@ -25,8 +25,8 @@
 	publishPause = 3 * time.Second
 )
 
-// Record is what the store holds of a group. It only rises.
-type Record struct {
+// GroupRecord is what the store holds of a group. It only rises.
+type GroupRecord struct {
 	Term uint64
 	// Primary is empty while the term has none yet.
 	Primary  rosemary.TargetID
@@ -36,17 +36,17 @@
 func recordKey(database string) string { return "Groups/" + database }
 
 // readRecord returns the record and its revision; both zero if there is none.
-func readRecord(ctx context.Context, store rosemary.Store, database string) (Record, int64, error) {
+func readRecord(ctx context.Context, store rosemary.Store, database string) (GroupRecord, int64, error) {
 	entry, err := store.Get(ctx, recordKey(database))
 	if trace.IsNotFound(err) {
-		return Record{}, 0, nil
+		return GroupRecord{}, 0, nil
 	}
 	if err != nil {
-		return Record{}, 0, err
+		return GroupRecord{}, 0, err
 	}
-	var record Record
+	var record GroupRecord
 	if err := json.Unmarshal(entry.Value, &record); err != nil {
-		return Record{}, entry.Revision, nil // an unreadable record is written anew
+		return GroupRecord{}, entry.Revision, nil // an unreadable record is written anew
 	}
 	return record, entry.Revision, nil
 }
@@ -54,25 +54,25 @@
 // raise writes record if it is higher than the one in the store. An answer
 // that was lost is made up for by reading back: the proposer tells whose
 // write it was.
-func raise(ctx context.Context, store rosemary.Store, database string, record Record) (Record, error) {
+func raise(ctx context.Context, store rosemary.Store, database string, record GroupRecord) (GroupRecord, error) {
 	for {
 		current, revision, err := readRecord(ctx, store, database)
 		if err != nil {
-			return Record{}, err
+			return GroupRecord{}, err
 		}
 		if current == record || current.Term > record.Term || current.Term == record.Term && current.Proposer != record.Proposer {
 			return current, nil
 		}
 		value, err := json.Marshal(record)
 		if err != nil {
-			return Record{}, trace.Wrap(err)
+			return GroupRecord{}, trace.Wrap(err)
 		}
 		written, err := store.CompareAndSwap(ctx, recordKey(database), revision, value)
 		if err == nil && written {
 			return record, nil
 		}
 		if ctx.Err() != nil {
-			return Record{}, trace.ConnectionProblem(ctx.Err(), "the store did not answer in time")
+			return GroupRecord{}, trace.ConnectionProblem(ctx.Err(), "the store did not answer in time")
 		}
 	}
 }
@@ -90,7 +90,7 @@
 		return term, true
 	}
 	term = max(term, current.Term+1)
-	won, err := raise(ctx, s.config.Store, s.database(), Record{Term: term, Proposer: proposer})
+	won, err := raise(ctx, s.config.Store, s.database(), GroupRecord{Term: term, Proposer: proposer})
 	if err != nil {
 		return term, true
 	}
@@ -98,7 +98,7 @@
 }
 
 // publish writes the new primary to the store, however long that is down.
-func (s *Supervisor) publish(ctx context.Context, record Record) {
+func (s *Supervisor) publish(ctx context.Context, record GroupRecord) {
 	if s.config.Store == nil {
 		return
 	}
--- a/pkg/rosesupervisor/replace.go
+++ b/pkg/rosesupervisor/replace.go
@@ -70,27 +70,27 @@
 type ReplacerConfig struct {
 	Self     rosemary.ProxyID
 	Group    *rosefleet.Group
-	Duty     *Duty
+	Locks    *LockManager
 	Promoter rosemary.Promoter
 	Clock    roseclock.Clock
 	// Voters are the other proxies; nil for none.
 	Voters Voters
 	// Homes counts the proxies that use the group's targets.
-	Homes func() int
+	ProxyCount func() int
 }
 
 // Voters are the other proxies, asked about a group's primary.
 type Voters interface {
 	// Reach returns how many replied, how many of them reach the target,
 	// and how many don't.
-	Reach(ctx context.Context, group string, target rosemary.TargetID) (replied, reach, miss int)
+	PollReachability(ctx context.Context, group string, target rosemary.TargetID) (replied, reach, miss int)
 	// Stop has all give up relying on the primary of term. It returns those
 	// that have, and all that were asked.
-	Stop(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID)
+	StopUsingPrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID)
 	// Suspect tells all that the target has just not answered this proxy.
 	Suspect(ctx context.Context, group string, target rosemary.TargetID)
 	// Complain tells all that this proxy can't reach the target.
-	Complain(ctx context.Context, group string, target rosemary.TargetID)
+	ReportUnreachable(ctx context.Context, group string, target rosemary.TargetID)
 }
 
 // Replacer replaces the primary of a group by the platform's order, while
@@ -98,7 +98,7 @@
 type Replacer struct {
 	config ReplacerConfig
 	since  time.Time
-	need   Need
+	need   Action
 	// surveyedAt is when the other proxies were last asked.
 	surveyedAt time.Time
 	// suspected is set once the others were told that the primary doesn't
@@ -123,8 +123,8 @@
 	return &Replacer{config: config, complaints: make(map[rosemary.ProxyID]complaint)}
 }
 
-// Complaint takes in that another proxy can't reach a target.
-func (r *Replacer) Complaint(from rosemary.ProxyID, target rosemary.TargetID) {
+// RecordUnreachable takes in that another proxy can't reach a target.
+func (r *Replacer) RecordUnreachable(from rosemary.ProxyID, target rosemary.TargetID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.complaints[from] = complaint{target, r.config.Clock.Now()}
@@ -150,7 +150,7 @@
 	for roseclock.Sleep(ctx, replaceTick) {
 		view := r.config.Group.View()
 		need, due := r.assess(view)
-		if _, _, holds := r.config.Duty.Holds(r.config.Group.Name()); !holds {
+		if _, _, holds := r.config.Locks.Holds(r.config.Group.Name()); !holds {
 			r.complain(ctx, view)
 			continue
 		}
@@ -174,15 +174,15 @@
 		return
 	}
 	r.surveyedAt = now
-	r.config.Voters.Complain(ctx, r.config.Group.Name(), view.Lead.Target)
+	r.config.Voters.ReportUnreachable(ctx, r.config.Group.Name(), view.Lead.Target)
 }
 
 // assess returns what the group needs, and whether that has lasted long enough
 // to be acted on.
-func (r *Replacer) assess(view rosefleet.View) (Need, bool) {
+func (r *Replacer) assess(view rosefleet.View) (Action, bool) {
 	need, after := AssessReplacement(view)
-	if need == NeedNothing && r.lostToMany(view) {
-		need = NeedReunion
+	if need == ActionNone && r.lostToMany(view) {
+		need = ActionReplaceIsolated
 	}
 	now := r.config.Clock.Now()
 	if need != r.need {
@@ -192,8 +192,8 @@
 }
 
 // step acts on a need that is due.
-func (r *Replacer) step(ctx context.Context, view rosefleet.View, need Need, due bool) {
-	if need == NeedNothing {
+func (r *Replacer) step(ctx context.Context, view rosefleet.View, need Action, due bool) {
+	if need == ActionNone {
 		r.tidy(ctx, view)
 		return
 	}
@@ -207,22 +207,22 @@
 		klog.InfoS("replacement failed", "group", r.config.Group.Name(), "need", need.String(), "err", roselog.Err(err))
 		roseclock.Sleep(ctx, replacePause)
 	}
-	r.need = NeedNothing
+	r.need = ActionNone
 }
 
 // lostToMany reports whether so many other proxies can't reach the primary
 // that it is better replaced, though it answers here.
 func (r *Replacer) lostToMany(view rosefleet.View) bool {
 	lost := r.complaining(view.Lead.Target)
-	return lost > 0 && float64(lost) >= lostShare*float64(r.config.Homes())
+	return lost > 0 && float64(lost) >= lostShare*float64(r.config.ProxyCount())
 }
 
 // confirmed asks the other proxies about a primary that doesn't answer here: it
 // may be this proxy that is cut off, and a cut may look like a refusal too.
 // Half of the proxies have to reply, and enough of them to miss it as well.
-func (r *Replacer) confirmed(ctx context.Context, need Need, view rosefleet.View) bool {
-	members := len(r.config.Duty.Members())
-	if need == NeedMove || r.config.Voters == nil || members <= 1 {
+func (r *Replacer) confirmed(ctx context.Context, need Action, view rosefleet.View) bool {
+	members := len(r.config.Locks.Members())
+	if need == ActionSwitchover || r.config.Voters == nil || members <= 1 {
 		return true
 	}
 	now := r.config.Clock.Now()
@@ -232,17 +232,17 @@
 	r.surveyedAt = now
 	asking, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
-	replied, reach, miss := r.config.Voters.Reach(asking, r.config.Group.Name(), view.Lead.Target)
-	agreed := Agreed(members, replied, reach, miss, view.LeadKnown)
+	replied, reach, miss := r.config.Voters.PollReachability(asking, r.config.Group.Name(), view.Lead.Target)
+	agreed := ReplacementAgreed(members, replied, reach, miss, view.LeadKnown)
 	klog.InfoS("primary in doubt", "group", r.config.Group.Name(), "target", view.Lead.Target, "refused", view.LeadView.Refused,
 		"failingFor", view.LeadView.FailingFor, "members", members, "replied", replied, "reachedBy", reach, "missedBy", miss, "replace", agreed)
 	return agreed
 }
 
-// Agreed reports whether the replies of the other proxies allow a replacement:
+// ReplacementAgreed reports whether the replies of the other proxies allow a replacement:
 // half of all proxies, this one included, have to be heard, and of those that
 // know a primary as many have to miss it as make a replacement worthwhile.
-func Agreed(members, replied, reach, miss int, primaryKnown bool) bool {
+func ReplacementAgreed(members, replied, reach, miss int, primaryKnown bool) bool {
 	if 2*(replied+1) < members {
 		return false
 	}
@@ -254,26 +254,26 @@
 
 // AssessReplacement returns what the group lacks, and how long that has to
 // last before it is acted on.
-func AssessReplacement(view rosefleet.View) (Need, time.Duration) {
+func AssessReplacement(view rosefleet.View) (Action, time.Duration) {
 	lead := view.LeadView
 	switch {
 	case view.Term == 0 || len(view.Targets) < 2:
-		return NeedNothing, 0
+		return ActionNone, 0
 	case (!view.HasLead || !view.LeadKnown) && unseen(view):
 		// The primary may be one that nothing is known of yet.
-		return NeedNothing, 0
+		return ActionNone, 0
 	case !view.HasLead || !view.LeadKnown:
-		return NeedPrimary, vacantAfter
+		return ActionFailover, vacantAfter
 	case lead.FailingFor > 0 && lead.Refused:
-		return NeedPrimary, refusedAfter
+		return ActionFailover, refusedAfter
 	case lead.FailingFor > 0:
-		return NeedPrimary, silentAfter
+		return ActionFailover, silentAfter
 	case lead.Leaving:
-		return NeedMove, 0
+		return ActionSwitchover, 0
 	case !view.Certain && heldAbove(view):
-		return NeedPrimary, doubtAfter
+		return ActionFailover, doubtAfter
 	}
-	return NeedNothing, 0
+	return ActionNone, 0
 }
 
 // unseen reports whether nothing is known of a target, neither a status nor
@@ -323,15 +323,15 @@
 }
 
 // replace gives the group a new primary.
-func (r *Replacer) replace(ctx context.Context, need Need, view rosefleet.View) error {
+func (r *Replacer) replace(ctx context.Context, need Action, view rosefleet.View) error {
 	term := view.Term + 1
-	if need == NeedMove || need == NeedReunion {
+	if need == ActionSwitchover || need == ActionReplaceIsolated {
 		if err := r.reach(ctx); err != nil {
 			return err
 		}
 	}
 	steppedDown, old := r.demote(ctx, view, need, term)
-	if (need == NeedMove || need == NeedReunion) && !steppedDown {
+	if (need == ActionSwitchover || need == ActionReplaceIsolated) && !steppedDown {
 		return trace.ConnectionProblem(nil, "the primary did not step down")
 	}
 	fenced, err := r.fence(ctx, view, term, steppedDown, old)
@@ -384,11 +384,11 @@
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	r.config.Group.Bar(term)
-	members, err := r.config.Duty.ReadMembers(ctx)
+	members, err := r.config.Locks.ReadMembers(ctx)
 	if err != nil {
 		return false
 	}
-	stopped, asked := r.config.Voters.Stop(ctx, r.config.Group.Name(), term)
+	stopped, asked := r.config.Voters.StopUsingPrimary(ctx, r.config.Group.Name(), term)
 	for _, m := range members {
 		if m.Proxy != r.config.Self && !slices.Contains(stopped, m.Proxy) {
 			klog.InfoS("not all have stopped", "group", r.config.Group.Name(), "term", term, "missing", m.Proxy)
@@ -408,8 +408,8 @@
 
 // demote has the present primary step down: always for a planned replacement,
 // and else if it answers.
-func (r *Replacer) demote(ctx context.Context, view rosefleet.View, need Need, term uint64) (bool, rosemary.Status) {
-	if !view.LeadKnown || need != NeedMove && view.LeadView.FailingFor > 0 {
+func (r *Replacer) demote(ctx context.Context, view rosefleet.View, need Action, term uint64) (bool, rosemary.Status) {
+	if !view.LeadKnown || need != ActionSwitchover && view.LeadView.FailingFor > 0 {
 		return false, rosemary.Status{}
 	}
 	status, err := r.order(ctx, view.Lead.Target, "step down", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
@@ -571,7 +571,7 @@
 
 // callPromote orders a promotion if this proxy holds the duty still.
 func (r *Replacer) callPromote(ctx context.Context, target rosemary.TargetID) error {
-	generation, until, holds := r.config.Duty.Holds(r.config.Group.Name())
+	generation, until, holds := r.config.Locks.Holds(r.config.Group.Name())
 	if !holds {
 		return trace.CompareFailed("the duty was lost")
 	}
--- a/pkg/rosesupervisor/replace_test.go
+++ b/pkg/rosesupervisor/replace_test.go
@@ -29,24 +29,24 @@
 	tests := []struct {
 		name   string
 		change func(v *rosefleet.View)
-		want   Need
+		want   Action
 	}{
-		{"led", func(*rosefleet.View) {}, NeedNothing},
-		{"refused", func(v *rosefleet.View) { v.LeadView.FailingFor, v.LeadView.Refused = 1, true }, NeedPrimary},
-		{"silent", func(v *rosefleet.View) { v.LeadView.FailingFor = 1 }, NeedPrimary},
-		{"leaving", func(v *rosefleet.View) { v.LeadView.Leaving = true }, NeedMove},
-		{"without a primary", func(v *rosefleet.View) { v.HasLead, v.LeadKnown = false, false }, NeedPrimary},
+		{"led", func(*rosefleet.View) {}, ActionNone},
+		{"refused", func(v *rosefleet.View) { v.LeadView.FailingFor, v.LeadView.Refused = 1, true }, ActionFailover},
+		{"silent", func(v *rosefleet.View) { v.LeadView.FailingFor = 1 }, ActionFailover},
+		{"leaving", func(v *rosefleet.View) { v.LeadView.Leaving = true }, ActionSwitchover},
+		{"without a primary", func(v *rosefleet.View) { v.HasLead, v.LeadKnown = false, false }, ActionFailover},
 		{"a target of which nothing is known", func(v *rosefleet.View) {
 			v.HasLead, v.LeadKnown = false, false
 			v.Targets[1].SeenAt = time.Time{}
-		}, NeedNothing},
+		}, ActionNone},
 		{"a promotion left half-way", func(v *rosefleet.View) {
 			v.Certain = false
 			v.Targets[1].Status.PausedTerm = 2
-		}, NeedPrimary},
-		{"uncertain without a fence", func(v *rosefleet.View) { v.Certain = false }, NeedNothing},
-		{"nothing heard yet", func(v *rosefleet.View) { v.Term = 0 }, NeedNothing},
-		{"alone", func(v *rosefleet.View) { v.Targets = v.Targets[:1] }, NeedNothing},
+		}, ActionFailover},
+		{"uncertain without a fence", func(v *rosefleet.View) { v.Certain = false }, ActionNone},
+		{"nothing heard yet", func(v *rosefleet.View) { v.Term = 0 }, ActionNone},
+		{"alone", func(v *rosefleet.View) { v.Targets = v.Targets[:1] }, ActionNone},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Check(t, Agreed(test.members, test.replied, test.reach, test.miss, test.known), qt.Equals, test.want)
+			qt.Check(t, ReplacementAgreed(test.members, test.replied, test.reach, test.miss, test.known), qt.Equals, test.want)
 		})
 	}
 }
--- a/pkg/rosesupervisor/supervisor.go
+++ b/pkg/rosesupervisor/supervisor.go
@@ -53,7 +53,7 @@
 	// acting holds one token while an attempt runs.
 	acting chan struct{}
 
-	need  Need
+	need  Action
 	since time.Time
 }
 
@@ -91,7 +91,7 @@
 	if need != s.need {
 		s.need, s.since = need, now
 	}
-	if need == NeedNothing || now.Sub(s.started) < settleTime {
+	if need == ActionNone || now.Sub(s.started) < settleTime {
 		return
 	}
 	after += time.Duration(s.config.Rank()) * rankDelay
@@ -102,19 +102,19 @@
 	s.since = time.Now()
 }
 
-func (s *Supervisor) act(ctx context.Context, need Need, view rosegroup.View) {
+func (s *Supervisor) act(ctx context.Context, need Action, view rosegroup.View) {
 	if !s.begin(ctx) {
 		return
 	}
 	defer s.end()
 	var err error
 	switch need {
-	case NeedFollow:
+	case ActionFollow:
 		s.follow(ctx, view, view.Primary.Status)
 		return
-	case NeedMove:
+	case ActionSwitchover:
 		_, err = s.promote(ctx, view, "primary is leaving", "")
-	case NeedReunion:
+	case ActionReplaceIsolated:
 		_, err = s.promote(ctx, view, "primary is cut off from its replicas", "")
 	default:
 		_, err = s.promote(ctx, view, "primary is gone", "")
@@ -138,9 +138,9 @@
 
 func (s *Supervisor) end() { <-s.acting }
 
-// Move makes another target the primary: to if it is given and holds every
+// MovePrimary makes another target the primary: to if it is given and holds every
 // acknowledged write, else the best one. It returns the new primary.
-func (s *Supervisor) Move(ctx context.Context, to rosemary.TargetID) (rosemary.TargetID, error) {
+func (s *Supervisor) MovePrimary(ctx context.Context, to rosemary.TargetID) (rosemary.TargetID, error) {
 	if _, known := s.config.Group.Group().Find(to); to != "" && !known {
 		return "", trace.NotFound("database %s has no target %q", s.database(), to)
 	}
@@ -167,11 +167,11 @@
 	}
 	klog.InfoS("promotion begins", "proxy", s.config.Self, "database", s.database(), "term", term, "reason", reason)
 	promotion := &Promotion{
-		Group:    s.config.Group.Group(),
-		Term:     term,
-		Proposer: proposer,
-		Control:  s.config.Control,
-		Wanted:   wanted,
+		Group:     s.config.Group.Group(),
+		Term:      term,
+		Proposer:  proposer,
+		Control:   s.config.Control,
+		Preferred: wanted,
 		Avoid: func(id rosemary.TargetID) bool {
 			return id == view.Primary.ID || s.config.Leaving(id)
 		},
@@ -187,7 +187,7 @@
 	klog.InfoS("promotion done", "proxy", s.config.Self, "database", s.database(), "term", term,
 		"primary", status.Target, "took", time.Since(started))
 	s.tasks.Go(func() {
-		s.publish(ctx, Record{Term: term, Primary: status.Target, Proposer: proposer})
+		s.publish(ctx, GroupRecord{Term: term, Primary: status.Target, Proposer: proposer})
 	})
 	view, _ = s.config.Group.View()
 	s.follow(ctx, view, status)
