--- a/internal/rosedaemon/admin.go
+++ b/internal/rosedaemon/admin.go
@@ -185,7 +185,7 @@
 		Zone:        t.Zone,
 		Role:        t.Status.Role,
 		Position:    t.Status.Position.String(),
-		Reachable:   t.Seen && !t.Reach.Down(),
+		Reachable:   t.Seen && !t.Reachability.Down(),
 		Streaming:   t.Status.Streaming,
 		Leaving:     leaving || t.Status.Leaving,
 		AgeMs:       -1,
--- a/internal/rosedaemon/backend.go
+++ b/internal/rosedaemon/backend.go
@@ -80,9 +80,9 @@
 		Probes:   probes,
 		// The wait grows with what there is to watch, so that watching
 		// stays within its share of the network.
-		WatchWait: max(leastWatchWait, time.Duration(d.targets)*watchSpacing),
-		Leaving:   d.leaving,
-		OnChange:  func(change rosegroup.Change) { d.groupChanged(b, change) },
+		WatchTimeout: max(leastWatchWait, time.Duration(d.targets)*watchSpacing),
+		Leaving:      d.leaving,
+		OnChange:     func(change rosegroup.Change) { d.groupChanged(b, change) },
 	})
 	b.router = roseroute.NewRouter(roseroute.Config{
 		Group:        b.group,
--- a/internal/rosedaemon/peers.go
+++ b/internal/rosedaemon/peers.go
@@ -109,7 +109,7 @@
 	if b == nil || err != nil {
 		return
 	}
-	b.group.Note(rosegroup.Fact{Status: rosemary.Status{
+	b.group.Observe(rosegroup.Observation{Status: rosemary.Status{
 		Target:   rosemary.TargetID(lead.Target),
 		Term:     lead.Term,
 		Position: rosemary.Position{LogTerm: lead.Term, Offset: lead.Offset},
--- a/internal/rosefront/filter_claim.go
+++ b/internal/rosefront/filter_claim.go
@@ -70,9 +70,9 @@
 // refuseDuplicate tells the outcome of the first run, once that is settled.
 func (r *request) refuseDuplicate(ctx context.Context) error {
 	group := r.caller.router.Group()
-	position, err := group.SampleFloor(ctx, time.Now())
+	position, err := group.MinReadPosition(ctx, time.Now())
 	if err == nil {
-		_, err = group.Confirm(ctx, position)
+		_, err = group.AwaitConfirmation(ctx, position)
 	}
 	if err != nil {
 		return refuse(rosemary.KindDuplicateRequest, "request "+quote(r.id)+" was claimed before, and its outcome isn't settled yet",
--- a/internal/rosefront/filter_confirm.go
+++ b/internal/rosefront/filter_confirm.go
@@ -33,7 +33,7 @@
 	if s.config.AcknowledgeOnPrimary {
 		return nil
 	}
-	fate, err := c.router.Group().Confirm(ctx, r.committed)
+	fate, err := c.router.Group().AwaitConfirmation(ctx, r.committed)
 	s.config.Metrics.observeConfirm(c.tenant.Name, time.Since(started))
 	switch {
 	case err != nil:
--- a/internal/rosefront/filter_floor.go
+++ b/internal/rosefront/filter_floor.go
@@ -15,7 +15,7 @@
 		if !c.session.FloorUnknown || !r.class.ReadOnly || c.lease != nil {
 			return next(ctx, r)
 		}
-		floor, err := c.router.Group().SampleFloor(ctx, time.Now())
+		floor, err := c.router.Group().MinReadPosition(ctx, time.Now())
 		if err != nil {
 			return refuse(rosemary.KindNoPrimary, "what the session wrote before can't be found out without the primary",
 				"pass the session's rosemary.token, or retry later")
--- a/internal/rosenode/facts.go
+++ b/internal/rosenode/facts.go
@@ -64,13 +64,13 @@
 	if !answered {
 		return
 	}
-	byGroup := make(map[string][]rosegroup.Shared)
+	byGroup := make(map[string][]rosegroup.SharedStatus)
 	for _, f := range reply.Facts {
 		byGroup[f.Group] = append(byGroup[f.Group], sharedOf(f, askedAt))
 	}
 	for name, shared := range byGroup {
 		if g, found := n.Group(name); found {
-			g.NoteShared(shared)
+			g.ObserveShared(shared)
 		}
 	}
 }
@@ -84,14 +84,14 @@
 		if !found {
 			continue
 		}
-		for _, s := range g.Share() {
+		for _, s := range g.RecentStatuses() {
 			facts = append(facts, factOf(name, s, now))
 		}
 	}
 	return facts
 }
 
-func factOf(group string, s rosegroup.Shared, now time.Time) rosewire.Fact {
+func factOf(group string, s rosegroup.SharedStatus, now time.Time) rosewire.Fact {
 	fact := rosewire.Fact{
 		Group:         group,
 		Target:        string(s.Status.Target),
@@ -105,19 +105,19 @@
 		// Rounded up: an age must not be understated.
 		AgeMs: uint64(now.Sub(s.SentAt).Milliseconds()) + 1,
 	}
-	if !s.FreeSince.IsZero() {
-		fact.FreeMs = uint64(s.SentAt.Sub(s.FreeSince).Milliseconds())
+	if !s.UnfencedSince.IsZero() {
+		fact.FreeMs = uint64(s.SentAt.Sub(s.UnfencedSince).Milliseconds())
 	}
 	return fact
 }
 
-func sharedOf(f rosewire.Fact, askedAt time.Time) rosegroup.Shared {
+func sharedOf(f rosewire.Fact, askedAt time.Time) rosegroup.SharedStatus {
 	role := rosemary.RoleReplica
 	if f.Primary {
 		role = rosemary.RolePrimary
 	}
 	sentAt := askedAt.Add(-time.Duration(f.AgeMs) * time.Millisecond)
-	return rosegroup.Shared{
+	return rosegroup.SharedStatus{
 		Status: rosemary.Status{
 			Target:     rosemary.TargetID(f.Target),
 			Role:       role,
@@ -126,7 +126,7 @@
 			Position:   rosemary.Position{LogTerm: f.LogTerm, Offset: f.Offset},
 			Applied:    rosemary.Position{LogTerm: f.AppliedTerm, Offset: f.AppliedOffset},
 		},
-		SentAt:    sentAt,
-		FreeSince: sentAt.Add(-time.Duration(f.FreeMs) * time.Millisecond),
+		SentAt:        sentAt,
+		UnfencedSince: sentAt.Add(-time.Duration(f.FreeMs) * time.Millisecond),
 	}
 }
--- a/internal/rosenode/follow.go
+++ b/internal/rosenode/follow.go
@@ -230,7 +230,7 @@
 	g := &group{
 		Group: rosefleet.New(rosefleet.Config{
 			Name: name, Zone: n.config.Self.Zone, Dialer: n.config.Links, Clock: n.config.Clock,
-			Trusted: n.trusted, CutOff: n.cut.Load,
+			AllowPrimary: n.trusted, ZonePartitioned: n.cut.Load,
 		}),
 		cancel: cancel,
 	}
--- a/internal/rosenode/homes.go
+++ b/internal/rosenode/homes.go
@@ -49,7 +49,7 @@
 // linksOf divides the connections that each target of a group accepts: evenly
 // over the availability zones, since callers stay in theirs, and then over the
 // homes of a zone.
-func linksOf(free int, self rosemary.Member, homes []rosemary.Member) rosefleet.Links {
+func linksOf(free int, self rosemary.Member, homes []rosemary.Member) rosefleet.ConnLimits {
 	zones, neighbours := map[rosemary.Zone]bool{self.Zone: true}, 1
 	for _, m := range homes {
 		zones[m.Zone] = true
@@ -58,7 +58,7 @@
 		}
 	}
 	share := max(free/len(zones)/neighbours, 1)
-	return rosefleet.Links{Share: share, Most: share}
+	return rosefleet.ConnLimits{Share: share, Max: share}
 }
 
 // settleTime is how long after its start a proxy takes no more links than it
@@ -67,9 +67,9 @@
 const settleTime = 3 * time.Second
 
 // modest bounds links by the slots of a target.
-func modest(links rosefleet.Links, slots int) rosefleet.Links {
+func modest(links rosefleet.ConnLimits, slots int) rosefleet.ConnLimits {
 	most := max(slots, leastLinks)
-	return rosefleet.Links{Share: min(links.Share, most), Most: min(links.Most, most)}
+	return rosefleet.ConnLimits{Share: min(links.Share, most), Max: min(links.Max, most)}
 }
 
 // isHome reports whether a proxy is among homes. Nobody is registered before
--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -158,7 +158,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, g := range n.groups {
-		if g.home && !g.Certain() {
+		if g.home && !g.PrimaryValid() {
 			return true
 		}
 	}
@@ -172,10 +172,10 @@
 		return "", time.Time{}
 	}
 	view := g.View()
-	if !view.LeadKnown {
+	if !view.HasPrimaryView {
 		return "", time.Time{}
 	}
-	return view.LeadView.Zone, view.LeadSince
+	return view.PrimaryView.Zone, view.PrimarySince
 }
 
 // runContext is the context of Run, or one that has ended before and after.
@@ -295,7 +295,7 @@
 		return true
 	}
 	for _, g := range n.groups {
-		if g.home && !g.Certain() {
+		if g.home && !g.PrimaryValid() {
 			return false
 		}
 	}
--- a/internal/rosenode/peers.go
+++ b/internal/rosenode/peers.go
@@ -107,7 +107,7 @@
 	defer n.mu.Unlock()
 	targets, answering := 0, 0
 	for _, g := range n.groups {
-		t, a := g.Answering()
+		t, a := g.CountReachable()
 		targets += t
 		answering += a
 	}
@@ -236,13 +236,13 @@
 	case rosepeer.AboutReach:
 		ctx, cancel := context.WithTimeout(n.runContext(), reachTimeout)
 		defer cancel()
-		yes, known := g.Reaches(ctx, target)
+		yes, known := g.CheckReachable(ctx, target)
 		return rosewire.Reply{Yes: yes, Known: known}
 	case rosepeer.AboutStop:
-		g.Bar(question.Term)
+		g.RevokePrimary(question.Term)
 		return rosewire.Reply{Yes: true, Known: true}
 	case rosepeer.AboutSuspicion:
-		g.Suspect(target)
+		g.SampleNow(target)
 		return rosewire.Reply{Yes: true, Known: true}
 	case rosepeer.AboutComplaint:
 		g.replacer.RecordUnreachable(from, target)
--- a/pkg/rosecaller/block.go
+++ b/pkg/rosecaller/block.go
@@ -75,7 +75,7 @@
 	j.took(lease)
 	begin := rosemary.Statement{Kind: rosemary.StatementBegin, ReadOnly: j.task.ReadOnly}
 	if !lease.Primary() {
-		begin.MinPosition = j.request(a, true).Floor
+		begin.MinPosition = j.request(a, true).MinPosition
 		if begin.MinPosition.IsZero() {
 			lease.Release(true)
 			a.primary = true
@@ -91,7 +91,7 @@
 	}
 	began := answers[len(answers)-1]
 	if preludeHolds(answers[:len(prelude)]) {
-		lease.SetMemo(memo)
+		lease.SetSessionState(memo)
 	}
 	if !preludeHolds(answers) || began.TransactionState != rosemary.TransactionOpen {
 		lease.Release(preludeHolds(answers[:len(prelude)]) && began.TransactionState == rosemary.TransactionNone)
@@ -99,7 +99,7 @@
 		a.primary = a.primary || began.Failure == rosemary.FailureLagging && a.tries > 0
 		return nil
 	}
-	if lease.Primary() && !lease.Certain() {
+	if lease.Primary() && !lease.StillPrimary() {
 		lease.Release(false)
 		return nil
 	}
@@ -120,7 +120,7 @@
 		j.block = rosemary.TransactionFailed
 		return rosemary.Answer{}, aborted("the session's values could not be set on the target")
 	}
-	j.lease.SetMemo(memo)
+	j.lease.SetSessionState(memo)
 	answer := answers[len(prelude)]
 	if commits {
 		return j.afterCommit(answer)
@@ -147,7 +147,7 @@
 
 // afterCommit ends the transaction.
 func (j *job) afterCommit(answer rosemary.Answer) (rosemary.Answer, *rosemary.Refusal) {
-	certain := !j.wrote || j.lease.Certain()
+	certain := !j.wrote || j.lease.StillPrimary()
 	target := j.lease.Target()
 	j.releaseLease(answer.TransactionState == rosemary.TransactionNone)
 	j.block = rosemary.TransactionNone
--- a/pkg/rosecaller/prelude.go
+++ b/pkg/rosecaller/prelude.go
@@ -32,7 +32,7 @@
 func (j *job) prelude(lease *rosefleet.Lease, statement rosemary.Statement) ([]rosemary.Statement, *memo) {
 	var statements []rosemary.Statement
 	now := &memo{values: j.task.Values, prepared: make(map[string]bool)}
-	known, _ := lease.Memo().(*memo)
+	known, _ := lease.SessionState().(*memo)
 	if known != nil && within(known.values, j.task.Values) {
 		now.prepared = known.prepared
 	} else if known != nil {
--- a/pkg/rosecaller/run.go
+++ b/pkg/rosecaller/run.go
@@ -53,25 +53,25 @@
 // data may go to a replica if a floor is known.
 func (j *job) request(a *attempt, readOnly bool) rosefleet.Request {
 	request := rosefleet.Request{
-		Primary:  true,
-		Priority: j.task.Route.Priority,
-		Deadline: a.deadline,
-		Aim:      j.task.Aim,
-		Owner:    j.task.Owner,
-		Avoid:    a.avoid,
+		Primary:      true,
+		Priority:     j.task.Route.Priority,
+		Deadline:     a.deadline,
+		SoftDeadline: j.task.Aim,
+		Owner:        j.task.Owner,
+		Avoid:        a.avoid,
 	}
 	class := j.task.Route.Class
 	if a.primary || !readOnly || class.MaxAge <= floorMargin || class.ReadYourWrites && j.task.Uncertain {
 		return request
 	}
-	floor, known := a.group.Floor(class.MaxAge - floorMargin)
+	floor, known := a.group.MinPosition(class.MaxAge - floorMargin)
 	if !known {
 		return request
 	}
 	if class.ReadYourWrites {
 		floor = floor.Max(j.task.Floor)
 	}
-	request.Primary, request.Floor = false, floor
+	request.Primary, request.MinPosition = false, floor
 	return request
 }
 
@@ -145,7 +145,7 @@
 	j.took(lease)
 	prelude, memo := j.prelude(lease, statement)
 	if !lease.Primary() {
-		statement.MinPosition = j.request(a, true).Floor
+		statement.MinPosition = j.request(a, true).MinPosition
 		if statement.MinPosition.IsZero() {
 			lease.Release(true)
 			a.primary = true
@@ -169,7 +169,7 @@
 		}
 		return rosemary.Answer{}, tryAgain
 	}
-	lease.SetMemo(memo)
+	lease.SetSessionState(memo)
 	answer := answers[len(prelude)]
 	result := j.judge(a, lease, answer)
 	lease.Release(answer.TransactionState == rosemary.TransactionNone)
@@ -194,7 +194,7 @@
 	writes := a.statement.Writes
 	switch answer.Failure {
 	case rosemary.FailureNone:
-		if lease.Primary() && !lease.Certain() {
+		if lease.Primary() && !lease.StillPrimary() {
 			if writes {
 				return tryUnknown
 			}
@@ -212,7 +212,7 @@
 		a.avoid = lease.Target()
 		return tryAgain
 	case rosemary.FailureUnknownStatement:
-		lease.SetMemo(&memo{values: j.task.Values, prepared: make(map[string]bool)})
+		lease.SetSessionState(&memo{values: j.task.Values, prepared: make(map[string]bool)})
 		return tryAgain
 	case rosemary.FailureExecution, rosemary.FailureTimeout:
 		if writes {
--- a/pkg/rosefleet/group.go
+++ b/pkg/rosefleet/group.go
@@ -27,11 +27,11 @@
 	Clock roseclock.Clock
 	// Trusted reports whether this proxy may rely on a primary at all; nil
 	// means always.
-	Trusted func() bool
+	AllowPrimary func() bool
 	// CutOff reports whether this proxy knows that it is cut off from the
 	// other availability zones: what it can't serve at once it refuses at
 	// once, as others can. Nil means never.
-	CutOff func() bool
+	ZonePartitioned func() bool
 }
 
 // Group is the targets of one group as this proxy uses them. Its methods may
@@ -80,11 +80,11 @@
 
 // New returns a group without targets.
 func New(config Config) *Group {
-	if config.Trusted == nil {
-		config.Trusted = func() bool { return true }
+	if config.AllowPrimary == nil {
+		config.AllowPrimary = func() bool { return true }
 	}
-	if config.CutOff == nil {
-		config.CutOff = func() bool { return false }
+	if config.ZonePartitioned == nil {
+		config.ZonePartitioned = func() bool { return false }
 	}
 	return &Group{
 		config:     config,
@@ -97,16 +97,16 @@
 // Name returns the group's name.
 func (g *Group) Name() string { return g.config.Name }
 
-// Links bounds the links to one target.
-type Links struct {
+// ConnLimits bounds the links to one target.
+type ConnLimits struct {
 	// Share is this proxy's part of the connections that a target accepts.
 	Share int
 	// Most is the number that it may open while others leave theirs unused.
-	Most int
+	Max int
 }
 
 // Update replaces the targets of the group.
-func (g *Group) Update(listings []rosemary.TargetRegistration, links Links) {
+func (g *Group) Update(listings []rosemary.TargetRegistration, links ConnLimits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
@@ -131,7 +131,7 @@
 			g.wakeWaiters()
 		}
 		p.leaving, p.slots = l.Leaving, l.Slots
-		p.pool.setLimit(links.Share, links.Most)
+		p.pool.setLimit(links.Share, links.Max)
 		p.pool.trim()
 	}
 	for id, p := range g.places {
@@ -163,7 +163,7 @@
 func (g *Group) remove(p *place, why string) {
 	klog.InfoS("target removed", "group", g.config.Name, "target", p.target.ID, "why", why)
 	delete(g.places, p.target.ID)
-	g.leadership.Lost(p.target.ID)
+	g.leadership.ObservePossibleRestart(p.target.ID)
 	p.cancel()
 	p.pool.close()
 	g.wakeWaiters()
@@ -193,16 +193,16 @@
 	if g.places[p.target.ID] != p {
 		return
 	}
-	before, _ := g.leadership.Lead()
-	g.leadership.Note(status, sentAt)
+	before, _ := g.leadership.Primary()
+	g.leadership.Observe(status, sentAt)
 	p.failingSince, p.refused = time.Time{}, false
 	p.noteApplied(status.Applied, sentAt)
 	if status.Role == rosemary.RolePrimary {
-		g.leadership.Mark(p.target.ID, status.Term, status.Position, sentAt, g.config.Clock.Now())
+		g.leadership.ObservePosition(p.target.ID, status.Term, status.Position, sentAt, g.config.Clock.Now())
 	}
 	g.compareLead(before, "status of "+string(p.target.ID))
 	now := g.config.Clock.Now()
-	if lead, ok := g.leadership.Lead(); ok && now.Before(lead.Until) && !now.Before(before.Until) {
+	if lead, ok := g.leadership.Primary(); ok && now.Before(lead.ValidUntil) && !now.Before(before.ValidUntil) {
 		g.wakeWaiters()
 	}
 }
@@ -216,8 +216,8 @@
 }
 
 // compareLead logs a change of primary. The lock is held.
-func (g *Group) compareLead(before rosegroup.Lead, cause string) {
-	lead, known := g.leadership.Lead()
+func (g *Group) compareLead(before rosegroup.PrimaryLease, cause string) {
+	lead, known := g.leadership.Primary()
 	if lead.Target == before.Target && lead.Term == before.Term {
 		return
 	}
@@ -245,7 +245,7 @@
 		klog.InfoS("target lost", "group", g.config.Name, "target", p.target.ID, "err", roselog.Err(err))
 	}
 	p.refused = errors.Is(err, syscall.ECONNREFUSED)
-	g.leadership.Lost(p.target.ID)
+	g.leadership.ObservePossibleRestart(p.target.ID)
 	p.nudge()
 }
 
@@ -255,12 +255,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.places[p.target.ID] == p {
-		g.leadership.Lost(p.target.ID)
+		g.leadership.ObservePossibleRestart(p.target.ID)
 	}
 }
 
-// Suspect has a target sampled at once.
-func (g *Group) Suspect(id rosemary.TargetID) {
+// SampleNow has a target sampled at once.
+func (g *Group) SampleNow(id rosemary.TargetID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p := g.places[id]; p != nil {
@@ -279,28 +279,28 @@
 func (g *Group) deposed(p *place) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before, known := g.leadership.Lead()
+	before, known := g.leadership.Primary()
 	if !known || before.Target != p.target.ID {
 		return
 	}
-	g.leadership.Deposed(p.target.ID)
+	g.leadership.ObserveNotPrimary(p.target.ID)
 	g.compareLead(before, "refused by "+string(p.target.ID))
 }
 
-// Bar gives up the permission to rely on the primary of term.
-func (g *Group) Bar(term uint64) {
+// RevokePrimary gives up the permission to rely on the primary of term.
+func (g *Group) RevokePrimary(term uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.leadership.Bar(term)
+	g.leadership.RevokePrimary(term)
 	klog.InfoS("primary not relied on any more", "group", g.config.Name, "term", term)
 	for _, p := range g.places {
 		p.nudge()
 	}
 }
 
-// Reaches asks a target for its status now, and reports whether it answers,
+// CheckReachable asks a target for its status now, and reports whether it answers,
 // and whether that is known before ctx ends.
-func (g *Group) Reaches(ctx context.Context, id rosemary.TargetID) (answers, known bool) {
+func (g *Group) CheckReachable(ctx context.Context, id rosemary.TargetID) (answers, known bool) {
 	g.mu.Lock()
 	p := g.places[id]
 	failing := p != nil && !p.failingSince.IsZero()
@@ -318,8 +318,8 @@
 	}
 }
 
-// Answering counts the targets, and those that answer.
-func (g *Group) Answering() (targets, answering int) {
+// CountReachable counts the targets, and those that answer.
+func (g *Group) CountReachable() (targets, answering int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.places {
@@ -331,19 +331,19 @@
 	return targets, answering
 }
 
-// Floor returns a position that holds all that was acknowledged maxAge ago.
-func (g *Group) Floor(maxAge time.Duration) (rosemary.Position, bool) {
+// MinPosition returns a position that holds all that was acknowledged maxAge ago.
+func (g *Group) MinPosition(maxAge time.Duration) (rosemary.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leadership.Floor(g.config.Clock.Now().Add(-maxAge))
+	return g.leadership.MinPosition(g.config.Clock.Now().Add(-maxAge))
 }
 
-// Certain reports whether a primary is known and may be relied on now.
-func (g *Group) Certain() bool {
+// PrimaryValid reports whether a primary is known and may be relied on now.
+func (g *Group) PrimaryValid() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	lead, known := g.leadership.Lead()
-	return known && g.config.Trusted() && g.config.Clock.Now().Before(lead.Until)
+	lead, known := g.leadership.Primary()
+	return known && g.config.AllowPrimary() && g.config.Clock.Now().Before(lead.ValidUntil)
 }
 
 // TargetView is what is known of one target.
@@ -353,22 +353,22 @@
 	// SeenAt is when the status was asked for; zero for never.
 	SeenAt time.Time
 	// FailingFor is how long the target hasn't answered.
-	FailingFor time.Duration
+	UnreachableFor time.Duration
 	// Refused is set when its VM answered that nothing listens.
-	Refused bool
+	ConnectionRefused bool
 }
 
 // View is what is known of a group.
 type View struct {
-	Lead      rosegroup.Lead
-	HasLead   bool
-	Certain   bool
-	Term      uint64
-	Targets   []TargetView
-	LeadView  TargetView
-	LeadKnown bool
+	Primary        rosegroup.PrimaryLease
+	HasPrimary     bool
+	PrimaryValid   bool
+	Term           uint64
+	Targets        []TargetView
+	PrimaryView    TargetView
+	HasPrimaryView bool
 	// LeadSince is since when this proxy has known the primary.
-	LeadSince time.Time
+	PrimarySince time.Time
 }
 
 // View returns what is known now.
@@ -376,19 +376,19 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Clock.Now()
-	lead, known := g.leadership.Lead()
-	view := View{Lead: lead, HasLead: known, Certain: known && g.config.Trusted() && now.Before(lead.Until), Term: g.leadership.Term(), LeadSince: g.leadSince}
+	lead, known := g.leadership.Primary()
+	view := View{Primary: lead, HasPrimary: known, PrimaryValid: known && g.config.AllowPrimary() && now.Before(lead.ValidUntil), Term: g.leadership.Term(), PrimarySince: g.leadSince}
 	for id, p := range g.places {
 		status, seenAt, _ := g.leadership.Status(id)
 		t := TargetView{
 			TargetRegistration: rosemary.TargetRegistration{Target: p.target, Group: g.config.Name, Slots: p.slots, Leaving: p.leaving, Incarnation: p.born},
-			Status:             status, SeenAt: seenAt, Refused: p.refused,
+			Status:             status, SeenAt: seenAt, ConnectionRefused: p.refused,
 		}
 		if !p.failingSince.IsZero() {
-			t.FailingFor = now.Sub(p.failingSince)
+			t.UnreachableFor = now.Sub(p.failingSince)
 		}
 		if known && id == lead.Target {
-			view.LeadView, view.LeadKnown = t, true
+			view.PrimaryView, view.HasPrimaryView = t, true
 		}
 		view.Targets = append(view.Targets, t)
 	}
--- a/pkg/rosefleet/lease.go
+++ b/pkg/rosefleet/lease.go
@@ -37,12 +37,12 @@
 	// Primary asks for the primary alone.
 	Primary bool
 	// Floor is what a replica's log must hold.
-	Floor    rosemary.Position
-	Priority int
+	MinPosition rosemary.Position
+	Priority    int
 	// Deadline is when the answer is of no more use.
 	Deadline time.Time
 	// Aim is when the answer should be there.
-	Aim time.Time
+	SoftDeadline time.Time
 	// Owner names the session, which gets the link that it used last.
 	Owner uint64
 	// Avoid is passed over if another target will do.
@@ -70,7 +70,7 @@
 				return lease, refusal
 			}
 		}
-		if !time.Now().Before(request.Deadline) || p == nil && g.config.CutOff() {
+		if !time.Now().Before(request.Deadline) || p == nil && g.config.ZonePartitioned() {
 			return nil, unserved(request)
 		}
 		if p == nil && !await(ctx, changed, request.Deadline) {
@@ -97,8 +97,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Clock.Now()
-	lead, known := g.leadership.Lead()
-	certain := known && g.config.Trusted() && now.Before(lead.Until)
+	lead, known := g.leadership.Primary()
+	certain := known && g.config.AllowPrimary() && now.Before(lead.ValidUntil)
 	if request.Primary {
 		if p := g.places[lead.Target]; certain && p != nil && p.failingSince.IsZero() && !p.gone(now) {
 			return p, lead.Term, g.changed
@@ -125,7 +125,7 @@
 // caughtUp reports whether a replica is likely to hold floor by now, from how
 // far behind it was when it last told. The lock is held.
 func (g *Group) caughtUp(p *place, now time.Time, floor rosemary.Position) bool {
-	reached := g.leadership.Reached(floor)
+	reached := g.leadership.ReachedAt(floor)
 	if reached.IsZero() {
 		reached = now
 	}
@@ -138,7 +138,7 @@
 }
 
 // cost estimates the time to an answer of p. The lock is held.
-func (g *Group) cost(p *place, lead rosegroup.Lead, certain bool, now time.Time, request Request) (time.Duration, bool) {
+func (g *Group) cost(p *place, lead rosegroup.PrimaryLease, certain bool, now time.Time, request Request) (time.Duration, bool) {
 	status, _, seen := g.leadership.Status(p.target.ID)
 	if !seen || !p.failingSince.IsZero() {
 		return 0, false
@@ -147,9 +147,9 @@
 	switch {
 	case leads && (!certain || p.gone(now)):
 		return 0, false
-	case !leads && now.Before(p.behindTill) && !g.caughtUp(p, now, request.Floor):
+	case !leads && now.Before(p.behindTill) && !g.caughtUp(p, now, request.MinPosition):
 		return 0, false
-	case !leads && (request.Floor.IsZero() || status.Role != rosemary.RoleReplica || p.leaving):
+	case !leads && (request.MinPosition.IsZero() || status.Role != rosemary.RoleReplica || p.leaving):
 		return 0, false
 	}
 	inUse, waiting, limit, _ := p.pool.load()
@@ -171,7 +171,7 @@
 // lease takes a link. It returns neither lease nor refusal when the choice no
 // longer holds.
 func (g *Group) lease(ctx context.Context, p *place, term uint64, request Request) (*Lease, *rosemary.Refusal) {
-	request.Aim = request.Aim.Add(-p.meanAnswer())
+	request.SoftDeadline = request.SoftDeadline.Add(-p.meanAnswer())
 	if wait, worthwhile := p.pool.admit(request); !worthwhile {
 		return nil, p.overloaded(wait)
 	}
@@ -195,7 +195,7 @@
 		lease.held = h
 	}
 	h.owner = request.Owner
-	if term > 0 && !lease.Certain() {
+	if term > 0 && !lease.StillPrimary() {
 		p.pool.put(h)
 		return nil, nil
 	}
@@ -238,19 +238,19 @@
 // Primary reports whether the lease was taken on the primary.
 func (l *Lease) Primary() bool { return l.term > 0 }
 
-// Memo returns what the link's last user left on it, nil for a new link.
-func (l *Lease) Memo() any { return l.held.memo }
+// SessionState returns what the link's last user left on it, nil for a new link.
+func (l *Lease) SessionState() any { return l.held.memo }
 
-// SetMemo records what is left on the link.
-func (l *Lease) SetMemo(memo any) { l.held.memo = memo }
+// SetSessionState records what is left on the link.
+func (l *Lease) SetSessionState(memo any) { l.held.memo = memo }
 
-// Certain reports whether the target still leads the term that it led when
+// StillPrimary reports whether the target still leads the term that it led when
 // the lease began. An answer that arrived while it does wasn't given by a
 // primary that had been replaced.
-func (l *Lease) Certain() bool {
+func (l *Lease) StillPrimary() bool {
 	l.group.mu.Lock()
 	defer l.group.mu.Unlock()
-	return l.group.config.Trusted() && l.group.leadership.Holds(l.place.target.ID, l.term, l.group.config.Clock.Now())
+	return l.group.config.AllowPrimary() && l.group.leadership.IsPrimary(l.place.target.ID, l.term, l.group.config.Clock.Now())
 }
 
 // Exchange runs statements on the link and learns from their answers.
@@ -292,7 +292,7 @@
 		p.answerTime += time.Duration(answerWeight * float64(took-p.answerTime))
 	}
 	if l.term > 0 && answer.Position.LogTerm == l.term {
-		g.leadership.Mark(p.target.ID, l.term, answer.Position, sentAt, g.config.Clock.Now())
+		g.leadership.ObservePosition(p.target.ID, l.term, answer.Position, sentAt, g.config.Clock.Now())
 	}
 }
 
@@ -334,6 +334,6 @@
 		Outcome:    rosemary.OutcomeNotRun,
 		Message:    message,
 		Remedy:     "retry; if it lasts, look at the group's targets",
-		RetryAfter: rosegroup.PermissionTime,
+		RetryAfter: rosegroup.PrimaryLeaseTime,
 	}
 }
--- a/pkg/rosefleet/pool.go
+++ b/pkg/rosefleet/pool.go
@@ -97,7 +97,7 @@
 	}
 	p.sequence++
 	w := &waiter{
-		priority: request.Priority, deadline: request.Deadline, aim: request.Aim, sequence: p.sequence,
+		priority: request.Priority, deadline: request.Deadline, aim: request.SoftDeadline, sequence: p.sequence,
 		granted: make(chan grant, 1),
 	}
 	if !time.Now().Before(w.aim) {
@@ -303,8 +303,8 @@
 	defer p.mu.Unlock()
 	wait := p.predict(request.Priority)
 	limit := request.Deadline
-	if p.overloaded() && time.Now().Before(request.Aim) {
-		limit = request.Aim
+	if p.overloaded() && time.Now().Before(request.SoftDeadline) {
+		limit = request.SoftDeadline
 	}
 	return wait, wait <= time.Until(limit)
 }
--- a/pkg/rosefleet/pool_test.go
+++ b/pkg/rosefleet/pool_test.go
@@ -27,7 +27,7 @@
 }
 
 func request(priority int, aim, deadline time.Duration) Request {
-	return Request{Priority: priority, Aim: time.Now().Add(aim), Deadline: time.Now().Add(deadline)}
+	return Request{Priority: priority, SoftDeadline: time.Now().Add(aim), Deadline: time.Now().Add(deadline)}
 }
 
 // granted returns what a waiter got, if it got anything.
--- a/pkg/rosefleet/sample.go
+++ b/pkg/rosefleet/sample.go
@@ -33,7 +33,7 @@
 func (p *place) sample(ctx context.Context) {
 	nudged := true
 	for ctx.Err() == nil {
-		certain := p.group.Certain()
+		certain := p.group.PrimaryValid()
 		rest := p.sharedFor()
 		if nudged || !certain || rest <= 0 {
 			p.sampleOnce(ctx)
@@ -69,38 +69,38 @@
 	return p.sharedAt.Add(sharedTime).Sub(g.config.Clock.Now())
 }
 
-// Share returns the statuses that this proxy has sampled itself of late.
-func (g *Group) Share() []rosegroup.Shared {
+// RecentStatuses returns the statuses that this proxy has sampled itself of late.
+func (g *Group) RecentStatuses() []rosegroup.SharedStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Clock.Now()
-	shared := g.leadership.Share(now.Add(-sharedTime))
-	return slices.DeleteFunc(shared, func(s rosegroup.Shared) bool {
+	shared := g.leadership.RecentStatuses(now.Add(-sharedTime))
+	return slices.DeleteFunc(shared, func(s rosegroup.SharedStatus) bool {
 		p := g.places[s.Status.Target]
 		return p == nil || now.Sub(p.sharedAt) < sharedTime || !p.failingSince.IsZero()
 	})
 }
 
-// NoteShared takes in the statuses that another proxy has sampled.
-func (g *Group) NoteShared(shared []rosegroup.Shared) {
+// ObserveShared takes in the statuses that another proxy has sampled.
+func (g *Group) ObserveShared(shared []rosegroup.SharedStatus) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before, _ := g.leadership.Lead()
+	before, _ := g.leadership.Primary()
 	now := g.config.Clock.Now()
 	for _, s := range shared {
 		p := g.places[s.Status.Target]
 		if p == nil || !p.failingSince.IsZero() {
 			continue
 		}
-		g.leadership.NoteShared(s)
+		g.leadership.ObserveShared(s)
 		p.sharedAt = s.SentAt
 		p.noteApplied(s.Status.Applied, s.SentAt)
 		if s.Status.Role == rosemary.RolePrimary {
-			g.leadership.Mark(p.target.ID, s.Status.Term, s.Status.Position, s.SentAt, now)
+			g.leadership.ObservePosition(p.target.ID, s.Status.Term, s.Status.Position, s.SentAt, now)
 		}
 	}
 	g.compareLead(before, "status of another proxy")
-	if lead, ok := g.leadership.Lead(); ok && now.Before(lead.Until) && !now.Before(before.Until) {
+	if lead, ok := g.leadership.Primary(); ok && now.Before(lead.ValidUntil) && !now.Before(before.ValidUntil) {
 		g.wakeWaiters()
 	}
 }
--- a/pkg/rosefleet/shared_test.go
+++ b/pkg/rosefleet/shared_test.go
@@ -72,7 +72,7 @@
 				ids = append(ids, id)
 				listings = append(listings, rosemary.TargetRegistration{Target: rosemary.Target{ID: id, Zone: "z"}, Group: "g", Slots: 3})
 			}
-			g.Update(listings, rosefleet.Links{Share: 4, Most: 4})
+			g.Update(listings, rosefleet.ConnLimits{Share: 4, Max: 4})
 			started := time.Now()
 			for time.Since(started) < 4*time.Second {
 				time.Sleep(10 * time.Millisecond)
@@ -80,13 +80,13 @@
 				if now < stops && now%(250*time.Millisecond) == 0 {
 					// Sampled up to an interval ago, as the other one does.
 					sentAt := time.Now().Add(-300 * time.Millisecond)
-					var shared []rosegroup.Shared
+					var shared []rosegroup.SharedStatus
 					for _, id := range ids {
-						shared = append(shared, rosegroup.Shared{Status: statusOf(id), SentAt: sentAt, FreeSince: started})
+						shared = append(shared, rosegroup.SharedStatus{Status: statusOf(id), SentAt: sentAt, UnfencedSince: started})
 					}
-					g.NoteShared(shared)
+					g.ObserveShared(shared)
 				}
-				qt.Assert(t, now < time.Second || g.Certain(), qt.IsTrue, qt.Commentf("after %v, the sampler stopped at %v", now, stops))
+				qt.Assert(t, now < time.Second || g.PrimaryValid(), qt.IsTrue, qt.Commentf("after %v, the sampler stopped at %v", now, stops))
 			}
 		})
 	}
--- a/pkg/rosegroup/bench_test.go
+++ b/pkg/rosegroup/bench_test.go
@@ -19,7 +19,7 @@
 
 // BenchmarkNote reports what one fact costs, and what a group holds.
 func BenchmarkNote(b *testing.B) {
-	facts := rosegroup.NewFacts(benchGroup(), nil)
+	facts := rosegroup.NewObservations(benchGroup(), nil)
 	offset, at := uint64(0), time.Unix(0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -33,6 +33,6 @@
 		if target == 0 {
 			status.Role = rosemary.RolePrimary
 		}
-		facts.Note(rosegroup.Fact{Status: status, SentAt: at, ReceivedAt: at})
+		facts.Add(rosegroup.Observation{Status: status, SentAt: at, ReceivedAt: at})
 	}
 }
--- a/pkg/rosegroup/controller.go
+++ b/pkg/rosegroup/controller.go
@@ -22,7 +22,7 @@
 	// that to the watches.
 	Probes map[rosemary.TargetID]rosemary.TargetControl
 	// WatchWait is how long a target holds a watch without news.
-	WatchWait time.Duration
+	WatchTimeout time.Duration
 	// OnChange is called after a change of terms, roles or reachability.
 	// It must not block.
 	OnChange func(Change)
@@ -52,8 +52,8 @@
 	config Config
 
 	mu      sync.Mutex
-	facts   *Facts
-	reach   map[rosemary.TargetID]Reach
+	facts   *Observations
+	reach   map[rosemary.TargetID]Reachability
 	changed chan struct{}
 	primary rosemary.TargetID
 	term    uint64
@@ -61,30 +61,30 @@
 	probing chan struct{}
 }
 
-// Reach tells whether a target answers this process.
-type Reach struct {
+// Reachability tells whether a target answers this process.
+type Reachability struct {
 	Failures int
 	// Refused is set when the target's VM answered that nothing listens.
-	Refused bool
+	ConnectionRefused bool
 	// Since is when the present state began.
 	Since time.Time
 }
 
 // Down reports whether the target counts as unreachable.
-func (r Reach) Down() bool { return r.Failures >= downAfter }
+func (r Reachability) Down() bool { return r.Failures >= downAfter }
 
 // NewController returns a controller; Run starts it.
 func NewController(config Config) *Controller {
-	if config.WatchWait <= 0 {
-		config.WatchWait = defaultWatchWait
+	if config.WatchTimeout <= 0 {
+		config.WatchTimeout = defaultWatchWait
 	}
 	if config.OnChange == nil {
 		config.OnChange = func(Change) {}
 	}
 	return &Controller{
 		config:  config,
-		facts:   NewFacts(config.Group, config.Leaving),
-		reach:   make(map[rosemary.TargetID]Reach),
+		facts:   NewObservations(config.Group, config.Leaving),
+		reach:   make(map[rosemary.TargetID]Reachability),
 		changed: make(chan struct{}),
 		probing: make(chan struct{}, 1),
 	}
@@ -109,7 +109,7 @@
 	var known rosemary.Status
 	for ctx.Err() == nil {
 		sent := time.Now()
-		status, err := control.Watch(ctx, known, c.config.WatchWait)
+		status, err := control.Watch(ctx, known, c.config.WatchTimeout)
 		if ctx.Err() != nil {
 			return
 		}
@@ -121,7 +121,7 @@
 		}
 		known = status
 		c.noteAnswer(id)
-		c.Note(Fact{Status: status, SentAt: sent, ReceivedAt: time.Now()})
+		c.Observe(Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
 	}
 }
 
@@ -129,7 +129,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reach[id].Failures > 0 || c.reach[id].Since.IsZero() {
-		c.reach[id] = Reach{Since: time.Now()}
+		c.reach[id] = Reachability{Since: time.Now()}
 		c.wake()
 	}
 }
@@ -141,8 +141,8 @@
 		r.Since = time.Now()
 	}
 	r.Failures++
-	r.Refused = isRefused(err)
-	if r.Refused {
+	r.ConnectionRefused = isRefused(err)
+	if r.ConnectionRefused {
 		r.Failures = max(r.Failures, downAfter)
 	}
 	before := c.reach[id].Down()
@@ -156,10 +156,10 @@
 	}
 }
 
-// Note takes in a fact, from this process's watch or from a peer.
-func (c *Controller) Note(fact Fact) {
+// Observe takes in a fact, from this process's watch or from a peer.
+func (c *Controller) Observe(fact Observation) {
 	c.mu.Lock()
-	news := c.facts.Note(fact)
+	news := c.facts.Add(fact)
 	if news {
 		c.wake()
 	}
@@ -190,8 +190,8 @@
 // TargetView is what is known of one target at one moment.
 type TargetView struct {
 	rosemary.Target
-	Status rosemary.Status
-	Reach  Reach
+	Status       rosemary.Status
+	Reachability Reachability
 	// Age bounds the age of the target's data; Known is false without bound.
 	Age      time.Duration
 	AgeKnown bool
@@ -209,9 +209,9 @@
 	HasPrimary bool
 	Confirmed  rosemary.Position
 	// CurrentAt is when Term was last known to be in force.
-	CurrentAt time.Time
+	TermVerifiedAt time.Time
 	// ConfirmLag is how far confirmation is behind the primary.
-	ConfirmLag time.Duration
+	ConfirmationLag time.Duration
 }
 
 // View returns what is known now, and a channel that closes at the next change.
@@ -220,14 +220,14 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	term := c.facts.Term()
-	view := View{Term: term, Confirmed: c.facts.Confirmed(), CurrentAt: c.facts.CurrentAt(term)}
+	view := View{Term: term, Confirmed: c.facts.Confirmed(), TermVerifiedAt: c.facts.TermVerifiedAt(term)}
 	if at := c.facts.ConfirmedAt(); !at.IsZero() {
-		view.ConfirmLag = now.Sub(at)
+		view.ConfirmationLag = now.Sub(at)
 	}
 	for _, t := range c.config.Group.Targets {
-		fact, seen := c.facts.Of(t.ID)
-		tv := TargetView{Target: t, Status: fact.Status, Reach: c.reach[t.ID], Seen: seen, SeenAt: fact.SentAt}
-		if fresh := c.facts.FreshAt(t.ID); !fresh.IsZero() {
+		fact, seen := c.facts.Get(t.ID)
+		tv := TargetView{Target: t, Status: fact.Status, Reachability: c.reach[t.ID], Seen: seen, SeenAt: fact.SentAt}
+		if fresh := c.facts.CaughtUpAt(t.ID); !fresh.IsZero() {
 			tv.Age = now.Sub(fresh)
 			tv.AgeKnown = true
 		}
@@ -240,19 +240,19 @@
 	return view, c.changed
 }
 
-// Facts returns the facts known now.
-func (c *Controller) Facts() []Fact {
+// Observations returns the facts known now.
+func (c *Controller) Observations() []Observation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.facts.All()
 }
 
-// Confirm waits until the fate of the record at p is known. The error is
+// AwaitConfirmation waits until the fate of the record at p is known. The error is
 // ctx's when it isn't known in time.
-func (c *Controller) Confirm(ctx context.Context, p rosemary.Position) (rosemary.RecordState, error) {
+func (c *Controller) AwaitConfirmation(ctx context.Context, p rosemary.Position) (rosemary.RecordState, error) {
 	for {
 		c.mu.Lock()
-		fate := c.facts.Fate(p)
+		fate := c.facts.RecordStateAt(p)
 		changed := c.changed
 		c.mu.Unlock()
 		if fate != rosemary.RecordUnknown {
@@ -266,15 +266,15 @@
 	}
 }
 
-// SampleFloor returns a position at or after every write that was
+// MinReadPosition returns a position at or after every write that was
 // acknowledged before since. It waits until the primary was seen after since
 // and its term was in force after since.
-func (c *Controller) SampleFloor(ctx context.Context, since time.Time) (rosemary.Position, error) {
+func (c *Controller) MinReadPosition(ctx context.Context, since time.Time) (rosemary.Position, error) {
 	c.Probe(ctx)
 	for {
 		c.mu.Lock()
 		primary, ok := c.facts.Primary()
-		settled := ok && !primary.SentAt.Before(since) && !c.facts.CurrentAt(primary.Term).Before(since)
+		settled := ok && !primary.SentAt.Before(since) && !c.facts.TermVerifiedAt(primary.Term).Before(since)
 		c.mu.Unlock()
 		if settled {
 			return primary.Position, nil
@@ -316,7 +316,7 @@
 		go func() {
 			status, err := probe.Watch(ctx, rosemary.Status{}, 0)
 			if err == nil {
-				c.Note(Fact{Status: status, SentAt: sent, ReceivedAt: time.Now()})
+				c.Observe(Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
 			}
 			answered <- err == nil
 		}()
@@ -331,11 +331,11 @@
 		if <-answered {
 			good++
 		}
-		if primary, _ := c.View(); good >= c.config.Group.Quorum() && primary.HasPrimary && time.Since(primary.CurrentAt) < probeTimeout {
+		if primary, _ := c.View(); good >= c.config.Group.Quorum() && primary.HasPrimary && time.Since(primary.TermVerifiedAt) < probeTimeout {
 			return
 		}
 	}
 }
 
-// WatchWait returns how long a target holds a watch without news.
-func (c *Controller) WatchWait() time.Duration { return c.config.WatchWait }
+// WatchTimeout returns how long a target holds a watch without news.
+func (c *Controller) WatchTimeout() time.Duration { return c.config.WatchTimeout }
--- a/pkg/rosegroup/facts.go
+++ b/pkg/rosegroup/facts.go
@@ -12,8 +12,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Fact is a status with the bounds of the time at which it held.
-type Fact struct {
+// Observation is a status with the bounds of the time at which it held.
+type Observation struct {
 	rosemary.Status
 	// SentAt is when the status was asked for, on this process's clock.
 	SentAt time.Time
@@ -21,10 +21,10 @@
 	ReceivedAt time.Time
 }
 
-// Facts is what is known of a group. It isn't safe for concurrent use.
-type Facts struct {
+// Observations is what is known of a group. It isn't safe for concurrent use.
+type Observations struct {
 	group     rosemary.Group
-	byTarget  map[rosemary.TargetID]Fact
+	byTarget  map[rosemary.TargetID]Observation
 	confirmed rosemary.Position
 	history   rosemary.History
 	ages      ages
@@ -32,19 +32,19 @@
 	leaving func(rosemary.TargetID) bool
 }
 
-// NewFacts returns an empty set of facts about group.
+// NewObservations returns an empty set of facts about group.
 // Targets that leaving names don't count for a confirmation, unless they lead:
 // what is acknowledged must outlast their removal.
-func NewFacts(group rosemary.Group, leaving func(rosemary.TargetID) bool) *Facts {
+func NewObservations(group rosemary.Group, leaving func(rosemary.TargetID) bool) *Observations {
 	if leaving == nil {
 		leaving = func(rosemary.TargetID) bool { return false }
 	}
-	return &Facts{group: group, byTarget: make(map[rosemary.TargetID]Fact), leaving: leaving}
+	return &Observations{group: group, byTarget: make(map[rosemary.TargetID]Observation), leaving: leaving}
 }
 
-// Note takes in a fact and reports whether it told anything new. Facts may
+// Add takes in a fact and reports whether it told anything new. Facts may
 // come late, twice and out of order.
-func (f *Facts) Note(fact Fact) bool {
+func (f *Observations) Add(fact Observation) bool {
 	if _, member := f.group.Find(fact.Target); !member {
 		return false
 	}
@@ -57,12 +57,12 @@
 	if fact.LeadsTerm() && fact.Term == f.Term() {
 		f.ages.add(sample{at: fact.SentAt, term: fact.Term, position: fact.Position})
 	}
-	f.ages.validate(fact.Term, f.CurrentAt(fact.Term))
+	f.ages.validate(fact.Term, f.TermVerifiedAt(fact.Term))
 	return !seen || fact.Term != known.Term || fact.Position != known.Position ||
 		fact.Role != known.Role || fact.Leaving != known.Leaving || fact.Streaming != known.Streaming
 }
 
-func supersedes(fact, known Fact) bool {
+func supersedes(fact, known Observation) bool {
 	if fact.Term != known.Term {
 		return fact.Term > known.Term
 	}
@@ -70,7 +70,7 @@
 }
 
 // Term returns the highest term seen.
-func (f *Facts) Term() uint64 {
+func (f *Observations) Term() uint64 {
 	term := uint64(0)
 	for _, fact := range f.byTarget {
 		term = max(term, fact.Term)
@@ -79,25 +79,25 @@
 }
 
 // Primary returns the fact of the target that leads the highest term.
-func (f *Facts) Primary() (Fact, bool) {
+func (f *Observations) Primary() (Observation, bool) {
 	term := f.Term()
 	for _, fact := range f.byTarget {
 		if fact.Term == term && fact.LeadsTerm() {
 			return fact, true
 		}
 	}
-	return Fact{}, false
+	return Observation{}, false
 }
 
-// Of returns the fact of one target.
-func (f *Facts) Of(id rosemary.TargetID) (Fact, bool) {
+// Get returns the fact of one target.
+func (f *Observations) Get(id rosemary.TargetID) (Observation, bool) {
 	fact, ok := f.byTarget[id]
 	return fact, ok
 }
 
 // All returns the facts in the order of the group's targets.
-func (f *Facts) All() []Fact {
-	var all []Fact
+func (f *Observations) All() []Observation {
+	var all []Observation
 	for _, t := range f.group.Targets {
 		if fact, ok := f.byTarget[t.ID]; ok {
 			all = append(all, fact)
@@ -108,7 +108,7 @@
 
 // confirm raises the confirmed position: the greatest that a quorum, the
 // primary among it, was seen to hold under the primary's own term.
-func (f *Facts) confirm() {
+func (f *Observations) confirm() {
 	primary, ok := f.Primary()
 	if !ok {
 		return
@@ -134,18 +134,18 @@
 }
 
 // Confirmed returns the greatest confirmed position.
-func (f *Facts) Confirmed() rosemary.Position { return f.confirmed }
+func (f *Observations) Confirmed() rosemary.Position { return f.confirmed }
 
-// Fate tells whether the record at p is acknowledged, lost for good, or
+// RecordStateAt tells whether the record at p is acknowledged, lost for good, or
 // neither yet.
-func (f *Facts) Fate(p rosemary.Position) rosemary.RecordState {
+func (f *Observations) RecordStateAt(p rosemary.Position) rosemary.RecordState {
 	return f.history.RecordState(p, f.confirmed)
 }
 
-// CurrentAt returns the latest time at which term is known to have been in
+// TermVerifiedAt returns the latest time at which term is known to have been in
 // force: a quorum, the primary among it, was asked at or after that time and
 // still accepted it. The zero time means never.
-func (f *Facts) CurrentAt(term uint64) time.Time {
+func (f *Observations) TermVerifiedAt(term uint64) time.Time {
 	var times []time.Time
 	led := time.Time{}
 	for _, fact := range f.byTarget {
@@ -172,9 +172,9 @@
 	return b
 }
 
-// FreshAt returns the latest time at which the target is known to have held
+// CaughtUpAt returns the latest time at which the target is known to have held
 // all that its primary held. The zero time means unknown.
-func (f *Facts) FreshAt(id rosemary.TargetID) time.Time {
+func (f *Observations) CaughtUpAt(id rosemary.TargetID) time.Time {
 	fact, ok := f.byTarget[id]
 	if !ok {
 		return time.Time{}
@@ -184,12 +184,12 @@
 
 // ConfirmedAt returns the latest time at which all that the primary held is
 // known to be confirmed now. The zero time means unknown.
-func (f *Facts) ConfirmedAt() time.Time {
+func (f *Observations) ConfirmedAt() time.Time {
 	return f.ages.freshAt(f.confirmed)
 }
 
 // Clone returns an independent copy.
-func (f *Facts) Clone() *Facts {
+func (f *Observations) Clone() *Observations {
 	clone := *f
 	clone.byTarget = maps.Clone(f.byTarget)
 	clone.ages.samples = slices.Clone(f.ages.samples)
@@ -197,7 +197,7 @@
 }
 
 // Fingerprint tells copies apart by what they know of terms and positions.
-func (f *Facts) Fingerprint() string {
+func (f *Observations) Fingerprint() string {
 	parts := []string{f.confirmed.String(), f.history.String()}
 	for _, fact := range f.All() {
 		parts = append(parts, string(fact.Target)+"="+fact.Status.Fingerprint())
--- a/pkg/rosegroup/leadership.go
+++ b/pkg/rosegroup/leadership.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// PermissionTime is how long after a witness was asked its word may be
+	// PrimaryLeaseTime is how long after a witness was asked its word may be
 	// relied on. Who promotes waits as long after its last fence.
-	PermissionTime = 900 * time.Millisecond
+	PrimaryLeaseTime = 900 * time.Millisecond
 	// witnessSeason is how long a replica has to be seen without a fence
 	// before its word alone is enough: a restart ends a fence, and a
 	// promotion that was ordered before it takes effect within this time.
@@ -70,8 +70,8 @@
 	l.seats = seats
 }
 
-// Note takes in a status that was asked for at sentAt.
-func (l *Leadership) Note(status rosemary.Status, sentAt time.Time) {
+// Observe takes in a status that was asked for at sentAt.
+func (l *Leadership) Observe(status rosemary.Status, sentAt time.Time) {
 	s := l.seats[status.Target]
 	if s == nil || s.seen && sentAt.Before(s.sentAt) {
 		return
@@ -90,39 +90,39 @@
 	}
 }
 
-// Shared is a status with the time at which it was asked for, and since when
+// SharedStatus is a status with the time at which it was asked for, and since when
 // the target had then been seen without a fence.
-type Shared struct {
-	Status    rosemary.Status
-	SentAt    time.Time
-	FreeSince time.Time
+type SharedStatus struct {
+	Status        rosemary.Status
+	SentAt        time.Time
+	UnfencedSince time.Time
 }
 
-// Share returns the statuses asked for since a time.
-func (l *Leadership) Share(since time.Time) []Shared {
-	var shared []Shared
+// RecentStatuses returns the statuses asked for since a time.
+func (l *Leadership) RecentStatuses(since time.Time) []SharedStatus {
+	var shared []SharedStatus
 	for _, s := range l.seats {
 		if s.seen && !s.sentAt.Before(since) {
-			shared = append(shared, Shared{s.status, s.sentAt, s.freeSince})
+			shared = append(shared, SharedStatus{s.status, s.sentAt, s.freeSince})
 		}
 	}
 	return shared
 }
 
-// NoteShared takes in a status that another proxy has asked for. Of both
+// ObserveShared takes in a status that another proxy has asked for. Of both
 // proxies' words on a restart of the target the later one counts.
-func (l *Leadership) NoteShared(shared Shared) {
+func (l *Leadership) ObserveShared(shared SharedStatus) {
 	s := l.seats[shared.Status.Target]
 	if s == nil || s.seen && shared.SentAt.Before(s.sentAt) {
 		return
 	}
-	l.Note(shared.Status, shared.SentAt)
-	if !s.free() || shared.FreeSince.IsZero() {
+	l.Observe(shared.Status, shared.SentAt)
+	if !s.free() || shared.UnfencedSince.IsZero() {
 		return
 	}
 	known := s.sentAt.Sub(s.freeSince) > 0
-	if !known || shared.FreeSince.After(s.freeSince) {
-		s.freeSince = shared.FreeSince
+	if !known || shared.UnfencedSince.After(s.freeSince) {
+		s.freeSince = shared.UnfencedSince
 	}
 }
 
@@ -140,48 +140,48 @@
 	return s.seen && s.status.Role == rosemary.RoleReplica && s.status.PausedTerm == 0
 }
 
-// Deposed records that a target refused work that only a primary takes.
-func (l *Leadership) Deposed(id rosemary.TargetID) {
+// ObserveNotPrimary records that a target refused work that only a primary takes.
+func (l *Leadership) ObserveNotPrimary(id rosemary.TargetID) {
 	if s := l.seats[id]; s != nil {
 		s.status.Role = rosemary.RoleReplica
 	}
 }
 
-// Bar gives up the permission to rely on the primary of term and of earlier
+// RevokePrimary gives up the permission to rely on the primary of term and of earlier
 // ones, as somebody is about to replace it.
-func (l *Leadership) Bar(term uint64) { l.barred = max(l.barred, term) }
+func (l *Leadership) RevokePrimary(term uint64) { l.barred = max(l.barred, term) }
 
-// Lost records that a target may have restarted: its pause, if it had one,
+// ObservePossibleRestart records that a target may have restarted: its pause, if it had one,
 // may be over.
-func (l *Leadership) Lost(id rosemary.TargetID) {
+func (l *Leadership) ObservePossibleRestart(id rosemary.TargetID) {
 	if s := l.seats[id]; s != nil {
 		s.freeSince = time.Time{}
 		s.seen = false
 	}
 }
 
-// Lead is who leads a group.
-type Lead struct {
+// PrimaryLease is who leads a group.
+type PrimaryLease struct {
 	Target rosemary.TargetID
 	Term   uint64
 	// Until is when the permission to rely on it ends.
-	Until time.Time
+	ValidUntil time.Time
 }
 
-// Lead returns the primary of the newest term, and until when it is certain
+// Primary returns the primary of the newest term, and until when it is certain
 // that no other has taken over. It reports false when no primary is known.
-func (l *Leadership) Lead() (Lead, bool) {
+func (l *Leadership) Primary() (PrimaryLease, bool) {
 	for id, s := range l.seats {
 		if s.status.Role != rosemary.RolePrimary || s.status.Term != l.term || l.term == 0 {
 			continue
 		}
-		lead := Lead{Target: id, Term: l.term}
+		lead := PrimaryLease{Target: id, Term: l.term}
 		if l.term > l.barred {
-			lead.Until = l.until(id)
+			lead.ValidUntil = l.until(id)
 		}
 		return lead, true
 	}
-	return Lead{}, false
+	return PrimaryLease{}, false
 }
 
 // until returns the end of the permission to use primary.
@@ -206,7 +206,7 @@
 	}
 	if witnesses == 0 {
 		// Nothing else can be promoted.
-		return l.seats[primary].sentAt.Add(PermissionTime)
+		return l.seats[primary].sentAt.Add(PrimaryLeaseTime)
 	}
 	if free == witnesses && least.After(best) {
 		best = least
@@ -214,19 +214,19 @@
 	if best.IsZero() {
 		return best
 	}
-	return best.Add(PermissionTime)
+	return best.Add(PrimaryLeaseTime)
 }
 
-// Holds reports whether at now the target is certain to lead term.
-func (l *Leadership) Holds(id rosemary.TargetID, term uint64, now time.Time) bool {
-	lead, known := l.Lead()
-	return known && lead.Target == id && lead.Term == term && now.Before(lead.Until)
+// IsPrimary reports whether at now the target is certain to lead term.
+func (l *Leadership) IsPrimary(id rosemary.TargetID, term uint64, now time.Time) bool {
+	lead, known := l.Primary()
+	return known && lead.Target == id && lead.Term == term && now.Before(lead.ValidUntil)
 }
 
-// Mark records that the primary of term had reached position when it was
+// ObservePosition records that the primary of term had reached position when it was
 // asked at sentAt, if it is certain at now to lead still.
-func (l *Leadership) Mark(id rosemary.TargetID, term uint64, position rosemary.Position, sentAt, now time.Time) {
-	if position.IsZero() || !l.Holds(id, term, now) {
+func (l *Leadership) ObservePosition(id rosemary.TargetID, term uint64, position rosemary.Position, sentAt, now time.Time) {
+	if position.IsZero() || !l.IsPrimary(id, term, now) {
 		return
 	}
 	size := len(l.marks)
@@ -241,9 +241,9 @@
 	l.marks = l.marks[old:]
 }
 
-// Floor returns a position that holds every commit acknowledged before since:
+// MinPosition returns a position that holds every commit acknowledged before since:
 // the least one known. It reports false when none is known.
-func (l *Leadership) Floor(since time.Time) (rosemary.Position, bool) {
+func (l *Leadership) MinPosition(since time.Time) (rosemary.Position, bool) {
 	for _, m := range l.marks {
 		if !m.at.Before(since) {
 			return m.position, true
@@ -252,9 +252,9 @@
 	return rosemary.Position{}, false
 }
 
-// Reached returns when the primary was first known to be at position or beyond
+// ReachedAt returns when the primary was first known to be at position or beyond
 // it; zero if it wasn't yet.
-func (l *Leadership) Reached(position rosemary.Position) time.Time {
+func (l *Leadership) ReachedAt(position rosemary.Position) time.Time {
 	at := sort.Search(len(l.marks), func(i int) bool { return l.marks[i].position.AtLeast(position) })
 	if at == len(l.marks) {
 		return time.Time{}
--- a/pkg/rosegroup/leadership_test.go
+++ b/pkg/rosegroup/leadership_test.go
@@ -25,14 +25,16 @@
 func (l *leadership) pass(d time.Duration) { l.now = l.now.Add(d) }
 
 func (l *leadership) primary(id rosemary.TargetID, term uint64) {
-	l.Note(rosemary.Status{Target: id, Role: rosemary.RolePrimary, Term: term}, l.now)
+	l.Observe(rosemary.Status{Target: id, Role: rosemary.RolePrimary, Term: term}, l.now)
 }
 
 func (l *leadership) replica(id rosemary.TargetID, term, held uint64) {
-	l.Note(rosemary.Status{Target: id, Role: rosemary.RoleReplica, Term: term, PausedTerm: held}, l.now)
+	l.Observe(rosemary.Status{Target: id, Role: rosemary.RoleReplica, Term: term, PausedTerm: held}, l.now)
 }
 
-func (l *leadership) holds(id rosemary.TargetID, term uint64) bool { return l.Holds(id, term, l.now) }
+func (l *leadership) holds(id rosemary.TargetID, term uint64) bool {
+	return l.IsPrimary(id, term, l.now)
+}
 
 // season has a replica seen without a fence for long.
 func (l *leadership) season(id rosemary.TargetID, term uint64) {
@@ -67,13 +69,13 @@
 		{"one replica, long seen, then lost", func(l *leadership) {
 			l.primary("a", 1)
 			l.season("b", 1)
-			l.Lost("b")
+			l.ObservePossibleRestart("b")
 			l.replica("b", 1, 0)
 		}, false},
 		{"permission over", func(l *leadership) {
 			l.primary("a", 1)
 			l.season("b", 1)
-			l.pass(rosegroup.PermissionTime)
+			l.pass(rosegroup.PrimaryLeaseTime)
 		}, false},
 		{"one fenced, one long free", func(l *leadership) {
 			l.primary("a", 1)
@@ -83,19 +85,19 @@
 		{"both fenced, permission not over", func(l *leadership) {
 			l.primary("a", 1)
 			l.season("b", 1)
-			l.pass(rosegroup.PermissionTime / 2)
+			l.pass(rosegroup.PrimaryLeaseTime / 2)
 			l.replica("c", 1, 2)
 			l.replica("b", 1, 2)
 		}, false},
 		{"told to stop", func(l *leadership) {
 			l.primary("a", 1)
 			l.season("b", 1)
-			l.Bar(1)
+			l.RevokePrimary(1)
 		}, false},
 		{"told to stop an earlier term", func(l *leadership) {
 			l.primary("a", 2)
 			l.season("b", 2)
-			l.Bar(1)
+			l.RevokePrimary(1)
 		}, true},
 		{"a newer term seen", func(l *leadership) {
 			l.primary("a", 1)
@@ -105,14 +107,14 @@
 		{"refused as a replica", func(l *leadership) {
 			l.primary("a", 1)
 			l.season("b", 1)
-			l.Deposed("a")
+			l.ObserveNotPrimary("a")
 		}, false},
 		{"old news of a free replica", func(l *leadership) {
 			l.primary("a", 1)
 			l.season("b", 1)
 			l.replica("b", 1, 2)
 			old := l.now.Add(-time.Second)
-			l.Note(rosemary.Status{Target: "b", Role: rosemary.RoleReplica, Term: 1}, old)
+			l.Observe(rosemary.Status{Target: "b", Role: rosemary.RoleReplica, Term: 1}, old)
 		}, false},
 		{"a target that left is no witness", func(l *leadership) {
 			l.primary("a", 1)
@@ -142,7 +144,7 @@
 		l.pass(300 * time.Millisecond)
 		l.primary("c", 2)
 		if lost {
-			l.Lost("b")
+			l.ObservePossibleRestart("b")
 		}
 		l.replica("b", 2, 0)
 		qt.Check(t, l.holds("c", 2), qt.Equals, !lost)
@@ -159,14 +161,14 @@
 		want      bool
 	}{
 		{"young and long free", 100 * time.Millisecond, 5 * time.Second, true},
-		{"old", rosegroup.PermissionTime, 5 * time.Second, false},
+		{"old", rosegroup.PrimaryLeaseTime, 5 * time.Second, false},
 		{"just restarted", 100 * time.Millisecond, 100 * time.Millisecond, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l := newLeadership()
 			l.primary("a", 1)
 			sent := l.now.Add(-test.age)
-			l.NoteShared(rosegroup.Shared{Status: free, SentAt: sent, FreeSince: sent.Add(-test.free)})
+			l.ObserveShared(rosegroup.SharedStatus{Status: free, SentAt: sent, UnfencedSince: sent.Add(-test.free)})
 			qt.Check(t, l.holds("a", 1), qt.Equals, test.want)
 		})
 	}
@@ -178,24 +180,24 @@
 		l.primary("a", 1)
 		l.replica("b", 1, 0)
 		l.replica("c", 1, 0)
-		l.Mark("a", 1, rosemary.Position{LogTerm: 1, Offset: offset}, l.now, l.now)
+		l.ObservePosition("a", 1, rosemary.Position{LogTerm: 1, Offset: offset}, l.now, l.now)
 	}
 	start := l.now
 	for offset := range uint64(10) {
 		mark(offset + 1)
 		l.pass(100 * time.Millisecond)
 	}
-	floor, known := l.Floor(start.Add(250 * time.Millisecond))
+	floor, known := l.MinPosition(start.Add(250 * time.Millisecond))
 	qt.Check(t, known, qt.IsTrue)
 	qt.Check(t, floor.Offset, qt.Equals, uint64(4))
-	_, known = l.Floor(l.now.Add(time.Second))
+	_, known = l.MinPosition(l.now.Add(time.Second))
 	qt.Check(t, known, qt.IsFalse)
-	qt.Check(t, l.Reached(rosemary.Position{LogTerm: 1, Offset: 4}), qt.Equals, start.Add(300*time.Millisecond))
+	qt.Check(t, l.ReachedAt(rosemary.Position{LogTerm: 1, Offset: 4}), qt.Equals, start.Add(300*time.Millisecond))
 	qt.Check(t, l.Lag(rosemary.Position{LogTerm: 1, Offset: 4}, l.now), qt.Equals, 600*time.Millisecond)
 	qt.Check(t, l.Lag(rosemary.Position{LogTerm: 1, Offset: 10}, l.now), qt.Equals, time.Duration(0))
 	// A position told by a primary that is no longer certain sets no floor.
-	l.pass(2 * rosegroup.PermissionTime)
-	l.Mark("a", 1, rosemary.Position{LogTerm: 1, Offset: 99}, l.now, l.now)
-	_, known = l.Floor(l.now.Add(-time.Millisecond))
+	l.pass(2 * rosegroup.PrimaryLeaseTime)
+	l.ObservePosition("a", 1, rosemary.Position{LogTerm: 1, Offset: 99}, l.now, l.now)
+	_, known = l.MinPosition(l.now.Add(-time.Millisecond))
 	qt.Check(t, known, qt.IsFalse)
 }
--- a/pkg/rosegroup/permission_explore_test.go
+++ b/pkg/rosegroup/permission_explore_test.go
@@ -20,7 +20,7 @@
 	// exploreTicks is how long a history is.
 	exploreTicks = 8
 	// fenceWait is the promoter's wait, PermissionTime in ticks.
-	fenceWait = int(PermissionTime / exploreTick)
+	fenceWait = int(PrimaryLeaseTime / exploreTick)
 	// slowestPromotion is the greatest time from an order to its effect.
 	slowestPromotion = 3
 	// exploreRestarts bounds the restarts of replicas.
@@ -81,9 +81,9 @@
 func firstState() exploration {
 	l := NewLeadership()
 	l.SetTargets([]rosemary.TargetID{"p", exploreReplicas[0], exploreReplicas[1]})
-	l.Note(rosemary.Status{Target: "p", Role: rosemary.RolePrimary, Term: 1, Position: rosemary.Position{LogTerm: 1, Offset: 1}}, at(0))
+	l.Observe(rosemary.Status{Target: "p", Role: rosemary.RolePrimary, Term: 1, Position: rosemary.Position{LogTerm: 1, Offset: 1}}, at(0))
 	for _, id := range exploreReplicas {
-		l.NoteShared(Shared{Status: report{}.status(id), SentAt: at(0), FreeSince: at(-10)})
+		l.ObserveShared(SharedStatus{Status: report{}.status(id), SentAt: at(0), UnfencedSince: at(-10)})
 	}
 	return exploration{fencedAt: -1, checkedAt: -1, effectAt: -1, asked: -1, proxy: l}
 }
@@ -136,9 +136,9 @@
 			if n.restarted[n.asked] {
 				// The question went over a new link.
 				n.restarted[n.asked] = false
-				n.proxy.Lost(exploreReplicas[n.asked])
+				n.proxy.ObservePossibleRestart(exploreReplicas[n.asked])
 			}
-			n.proxy.Note(n.answer.status(exploreReplicas[n.asked]), at(n.askedAt))
+			n.proxy.Observe(n.answer.status(exploreReplicas[n.asked]), at(n.askedAt))
 			n.asked = -1
 		}))
 	}
@@ -178,7 +178,7 @@
 // broken reports whether the proxy relies on the primary after the promotion
 // has taken effect.
 func (e exploration) broken() bool {
-	return e.promoted() && e.proxy.Holds("p", 1, at(e.now))
+	return e.promoted() && e.proxy.IsPrimary("p", 1, at(e.now))
 }
 
 // explore returns the number of states, and the first that is broken.
@@ -226,9 +226,9 @@
 	e := firstState()
 	e.held = [2]bool{true, true}
 	e.restart(1)
-	e.proxy.Lost(exploreReplicas[1])
+	e.proxy.ObservePossibleRestart(exploreReplicas[1])
 	for _, asked := range []int{looked, effect - 1} {
-		e.proxy.Note(report{}.status(exploreReplicas[1]), at(asked))
+		e.proxy.Observe(report{}.status(exploreReplicas[1]), at(asked))
 	}
-	qt.Check(t, e.proxy.Holds("p", 1, at(effect)), qt.IsFalse)
+	qt.Check(t, e.proxy.IsPrimary("p", 1, at(effect)), qt.IsFalse)
 }
--- a/pkg/roseroute/router.go
+++ b/pkg/roseroute/router.go
@@ -64,9 +64,9 @@
 // Request describes what is to be routed.
 type Request struct {
 	// Floor is the position that a replica must have reached.
-	Floor rosemary.Position
-	Class rosemary.Class
-	Flow  roseadmit.Flow
+	MinPosition rosemary.Position
+	Class       rosemary.Class
+	Flow        roseadmit.Flow
 	// ForcePrimary sends a read to the primary.
 	ForcePrimary bool
 }
@@ -147,22 +147,22 @@
 		}
 	}
 	primary := view.Primary
-	if !view.HasPrimary || primary.Reach.Down() || r.config.Leaving(primary.ID) && request.Class.ReadOnly {
+	if !view.HasPrimary || primary.Reachability.Down() || r.config.Leaving(primary.ID) && request.Class.ReadOnly {
 		return rosegroup.TargetView{}, nil
 	}
-	if time.Since(view.CurrentAt) > r.primaryAge(request.Class) {
+	if time.Since(view.TermVerifiedAt) > r.primaryAge(request.Class) {
 		return rosegroup.TargetView{}, nil
 	}
-	if !primary.Status.Position.AtLeast(request.Floor) && primary.Status.Term < request.Floor.LogTerm {
+	if !primary.Status.Position.AtLeast(request.MinPosition) && primary.Status.Term < request.MinPosition.LogTerm {
 		return rosegroup.TargetView{}, nil
 	}
 	if request.Class.ReadOnly {
 		return primary, nil
 	}
 	deadline, ok := ctx.Deadline()
-	if ok && view.ConfirmLag > time.Until(deadline) && r.lagging(view) {
+	if ok && view.ConfirmationLag > time.Until(deadline) && r.lagging(view) {
 		return rosegroup.TargetView{}, refusal(rosemary.KindUnconfirmed,
-			"replicas are too far behind to confirm a write before its deadline", view.ConfirmLag)
+			"replicas are too far behind to confirm a write before its deadline", view.ConfirmationLag)
 	}
 	return primary, nil
 }
@@ -174,7 +174,7 @@
 	if class.MaxAge > 0 {
 		return max(class.MaxAge-ageMargin, 0)
 	}
-	return max(primaryFreshness, freshWatches*r.config.Group.WatchWait())
+	return max(primaryFreshness, freshWatches*r.config.Group.WatchTimeout())
 }
 
 // lagging reports whether the primary holds more than was confirmed.
@@ -205,14 +205,14 @@
 }
 
 func (r *Router) mayServe(t rosegroup.TargetView, view rosegroup.View, request Request) bool {
-	if !t.Seen || t.Reach.Down() || t.Status.Leaving || r.config.Leaving(t.ID) {
+	if !t.Seen || t.Reachability.Down() || t.Status.Leaving || r.config.Leaving(t.ID) {
 		return false
 	}
 	if view.HasPrimary && t.ID == view.Primary.ID || t.Status.Role == rosemary.RolePrimary {
 		return false
 	}
 	young := t.AgeKnown && t.Age+ageMargin <= request.Class.MaxAge
-	return young && t.Status.Position.AtLeast(request.Floor)
+	return young && t.Status.Position.AtLeast(request.MinPosition)
 }
 
 // cost estimates the time to an answer of t.
@@ -248,7 +248,7 @@
 func (r *Router) stillValid(choice rosegroup.TargetView, replica bool, request Request) bool {
 	view, _ := r.config.Group.View()
 	if !replica {
-		return view.HasPrimary && view.Primary.ID == choice.ID && time.Since(view.CurrentAt) <= r.primaryAge(request.Class)
+		return view.HasPrimary && view.Primary.ID == choice.ID && time.Since(view.TermVerifiedAt) <= r.primaryAge(request.Class)
 	}
 	for _, t := range view.Targets {
 		if t.ID == choice.ID {
--- a/pkg/rosesupervisor/decide.go
+++ b/pkg/rosesupervisor/decide.go
@@ -55,9 +55,9 @@
 		return ActionFailover, orphanAfter
 	case !view.HasPrimary:
 		return ActionNone, 0
-	case view.Primary.Reach.Failures > 0 && enough && !followers:
+	case view.Primary.Reachability.Failures > 0 && enough && !followers:
 		return ActionFailover, 0
-	case view.Primary.Reach.Down():
+	case view.Primary.Reachability.Down():
 		return ActionNone, 0
 	case enough && !followers:
 		return ActionReplaceIsolated, reunionAfter
@@ -74,7 +74,7 @@
 func witnesses(view rosegroup.View) (int, bool) {
 	cutOff, followers := 0, false
 	for _, t := range view.Targets {
-		if t.ID == view.Primary.ID || !t.Seen || t.Reach.Down() {
+		if t.ID == view.Primary.ID || !t.Seen || t.Reachability.Down() {
 			continue
 		}
 		if t.Status.Streaming && t.Status.Role == rosemary.RoleReplica {
@@ -89,7 +89,7 @@
 func reachable(view rosegroup.View) int {
 	count := 0
 	for _, t := range view.Targets {
-		if t.Seen && !t.Reach.Down() {
+		if t.Seen && !t.Reachability.Down() {
 			count++
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 func isStray(t rosegroup.TargetView, view rosegroup.View) bool {
-	if !t.Seen || t.Reach.Down() || t.ID == view.Primary.ID {
+	if !t.Seen || t.Reachability.Down() || t.ID == view.Primary.ID {
 		return false
 	}
 	s := t.Status
--- a/pkg/rosesupervisor/explore_test.go
+++ b/pkg/rosesupervisor/explore_test.go
@@ -72,7 +72,7 @@
 	// limit bounds the writes.
 	limit uint8
 	state modelState
-	facts *rosegroup.Facts
+	facts *rosegroup.Observations
 	clock int
 	trail *trail
 }
@@ -131,7 +131,7 @@
 }
 
 func firstWorld(writes uint8) world {
-	w := world{limit: writes, facts: rosegroup.NewFacts(exploreGroup, nil)}
+	w := world{limit: writes, facts: rosegroup.NewObservations(exploreGroup, nil)}
 	for i := range w.state.targets {
 		w.state.targets[i] = modelTarget{term: 1, role: rosemary.RoleReplica}
 		w.state.targets[i].append(1, 0)
@@ -215,11 +215,11 @@
 // sample lets the observer see target i, and acknowledge what follows from it.
 func (w *world) sample(i int, v variant) bool {
 	at := time.Unix(int64(w.clock), 0)
-	if !w.facts.Note(rosegroup.Fact{Status: w.state.targets[i].status(i), SentAt: at, ReceivedAt: at}) || v == variantPrimaryWord {
+	if !w.facts.Add(rosegroup.Observation{Status: w.state.targets[i].status(i), SentAt: at, ReceivedAt: at}) || v == variantPrimaryWord {
 		return false
 	}
 	for write := uint8(1); write <= w.state.writes; write++ {
-		switch w.facts.Fate(w.state.places[write]) {
+		switch w.facts.RecordStateAt(w.state.places[write]) {
 		case rosemary.RecordPresent:
 			w.state.acked |= 1 << write
 		case rosemary.RecordLost:
--- a/pkg/rosesupervisor/replace.go
+++ b/pkg/rosesupervisor/replace.go
@@ -161,20 +161,20 @@
 // complain tells the holder of the duty that this proxy can't reach the
 // group's primary.
 func (r *Replacer) complain(ctx context.Context, view rosefleet.View) {
-	if r.config.Voters == nil || !view.LeadKnown || view.LeadView.FailingFor == 0 {
+	if r.config.Voters == nil || !view.HasPrimaryView || view.PrimaryView.UnreachableFor == 0 {
 		r.suspected = false
 		return
 	}
 	if !r.suspected {
 		r.suspected = true
-		r.config.Voters.Suspect(ctx, r.config.Group.Name(), view.Lead.Target)
+		r.config.Voters.Suspect(ctx, r.config.Group.Name(), view.Primary.Target)
 	}
 	now := r.config.Clock.Now()
-	if view.LeadView.FailingFor < complainAfter || now.Sub(r.surveyedAt) < surveyedAfter {
+	if view.PrimaryView.UnreachableFor < complainAfter || now.Sub(r.surveyedAt) < surveyedAfter {
 		return
 	}
 	r.surveyedAt = now
-	r.config.Voters.ReportUnreachable(ctx, r.config.Group.Name(), view.Lead.Target)
+	r.config.Voters.ReportUnreachable(ctx, r.config.Group.Name(), view.Primary.Target)
 }
 
 // assess returns what the group needs, and whether that has lasted long enough
@@ -188,7 +188,7 @@
 	if need != r.need {
 		r.need, r.since = need, now
 	}
-	return need, now.Sub(r.since) >= after || view.LeadView.FailingFor >= after && view.LeadView.FailingFor > 0
+	return need, now.Sub(r.since) >= after || view.PrimaryView.UnreachableFor >= after && view.PrimaryView.UnreachableFor > 0
 }
 
 // step acts on a need that is due.
@@ -200,8 +200,8 @@
 	if !due || !r.confirmed(ctx, need, view) {
 		return
 	}
-	klog.InfoS("replacement begins", "group", r.config.Group.Name(), "need", need.String(), "primary", view.Lead.Target,
-		"term", view.Term, "failingFor", view.LeadView.FailingFor, "refused", view.LeadView.Refused, "leaving", view.LeadView.Leaving)
+	klog.InfoS("replacement begins", "group", r.config.Group.Name(), "need", need.String(), "primary", view.Primary.Target,
+		"term", view.Term, "failingFor", view.PrimaryView.UnreachableFor, "refused", view.PrimaryView.ConnectionRefused, "leaving", view.PrimaryView.Leaving)
 	err := r.replace(ctx, need, view)
 	if err != nil {
 		klog.InfoS("replacement failed", "group", r.config.Group.Name(), "need", need.String(), "err", roselog.Err(err))
@@ -213,7 +213,7 @@
 // lostToMany reports whether so many other proxies can't reach the primary
 // that it is better replaced, though it answers here.
 func (r *Replacer) lostToMany(view rosefleet.View) bool {
-	lost := r.complaining(view.Lead.Target)
+	lost := r.complaining(view.Primary.Target)
 	return lost > 0 && float64(lost) >= lostShare*float64(r.config.ProxyCount())
 }
 
@@ -232,10 +232,10 @@
 	r.surveyedAt = now
 	asking, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
-	replied, reach, miss := r.config.Voters.PollReachability(asking, r.config.Group.Name(), view.Lead.Target)
-	agreed := ReplacementAgreed(members, replied, reach, miss, view.LeadKnown)
-	klog.InfoS("primary in doubt", "group", r.config.Group.Name(), "target", view.Lead.Target, "refused", view.LeadView.Refused,
-		"failingFor", view.LeadView.FailingFor, "members", members, "replied", replied, "reachedBy", reach, "missedBy", miss, "replace", agreed)
+	replied, reach, miss := r.config.Voters.PollReachability(asking, r.config.Group.Name(), view.Primary.Target)
+	agreed := ReplacementAgreed(members, replied, reach, miss, view.HasPrimaryView)
+	klog.InfoS("primary in doubt", "group", r.config.Group.Name(), "target", view.Primary.Target, "refused", view.PrimaryView.ConnectionRefused,
+		"failingFor", view.PrimaryView.UnreachableFor, "members", members, "replied", replied, "reachedBy", reach, "missedBy", miss, "replace", agreed)
 	return agreed
 }
 
@@ -255,22 +255,22 @@
 // AssessReplacement returns what the group lacks, and how long that has to
 // last before it is acted on.
 func AssessReplacement(view rosefleet.View) (Action, time.Duration) {
-	lead := view.LeadView
+	lead := view.PrimaryView
 	switch {
 	case view.Term == 0 || len(view.Targets) < 2:
 		return ActionNone, 0
-	case (!view.HasLead || !view.LeadKnown) && unseen(view):
+	case (!view.HasPrimary || !view.HasPrimaryView) && unseen(view):
 		// The primary may be one that nothing is known of yet.
 		return ActionNone, 0
-	case !view.HasLead || !view.LeadKnown:
+	case !view.HasPrimary || !view.HasPrimaryView:
 		return ActionFailover, vacantAfter
-	case lead.FailingFor > 0 && lead.Refused:
+	case lead.UnreachableFor > 0 && lead.ConnectionRefused:
 		return ActionFailover, refusedAfter
-	case lead.FailingFor > 0:
+	case lead.UnreachableFor > 0:
 		return ActionFailover, silentAfter
 	case lead.Leaving:
 		return ActionSwitchover, 0
-	case !view.Certain && heldAbove(view):
+	case !view.PrimaryValid && heldAbove(view):
 		return ActionFailover, doubtAfter
 	}
 	return ActionNone, 0
@@ -280,7 +280,7 @@
 // that it doesn't answer.
 func unseen(view rosefleet.View) bool {
 	for _, t := range view.Targets {
-		if t.SeenAt.IsZero() && t.FailingFor == 0 {
+		if t.SeenAt.IsZero() && t.UnreachableFor == 0 {
 			return true
 		}
 	}
@@ -301,15 +301,15 @@
 // earlier ones.
 func (r *Replacer) tidy(ctx context.Context, view rosefleet.View) {
 	for _, t := range view.Targets {
-		if t.SeenAt.IsZero() || t.FailingFor > 0 || t.ID == view.Lead.Target {
+		if t.SeenAt.IsZero() || t.UnreachableFor > 0 || t.ID == view.Primary.Target {
 			continue
 		}
 		switch {
-		case t.Status.PausedTerm > 0 && t.Status.PausedTerm <= view.Lead.Term:
+		case t.Status.PausedTerm > 0 && t.Status.PausedTerm <= view.Primary.Term:
 			r.order(ctx, t.ID, "resume", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return l.Resume(deadline) })
-		case t.Status.Role == rosemary.RolePrimary && t.Status.Term < view.Lead.Term:
+		case t.Status.Role == rosemary.RolePrimary && t.Status.Term < view.Primary.Term:
 			r.order(ctx, t.ID, "step down", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
-				return l.StepDown(deadline, view.Lead.Term)
+				return l.StepDown(deadline, view.Primary.Term)
 			})
 		}
 	}
@@ -344,7 +344,7 @@
 		return ctx.Err()
 	} else if r.answersAgain(view) {
 		r.unfence(ctx, view, fenced)
-		return trace.CompareFailed("the primary %s answers again", view.Lead.Target)
+		return trace.CompareFailed("the primary %s answers again", view.Primary.Target)
 	} else if err := r.checkFences(ctx, fenced); err != nil {
 		return err
 	}
@@ -364,18 +364,18 @@
 // that a proxy which nobody here knows has nothing to rely on.
 func (r *Replacer) awaitPermissions(ctx context.Context, view rosefleet.View) bool {
 	fencedAt := time.Now()
-	if view.LeadKnown && view.LeadView.Refused && r.config.Voters != nil && r.allStopped(ctx, view.Term) {
+	if view.HasPrimaryView && view.PrimaryView.ConnectionRefused && r.config.Voters != nil && r.allStopped(ctx, view.Term) {
 		return true
 	}
-	return roseclock.Sleep(ctx, time.Until(fencedAt.Add(rosegroup.PermissionTime+fenceMargin)))
+	return roseclock.Sleep(ctx, time.Until(fencedAt.Add(rosegroup.PrimaryLeaseTime+fenceMargin)))
 }
 
 // answersAgain reports whether a primary that was silent has been heard since,
 // and may be relied on again.
 func (r *Replacer) answersAgain(view rosefleet.View) bool {
 	now := r.config.Group.View()
-	return view.LeadKnown && view.LeadView.FailingFor > 0 && !view.LeadView.Refused &&
-		now.LeadKnown && now.Lead.Target == view.Lead.Target && now.LeadView.FailingFor == 0
+	return view.HasPrimaryView && view.PrimaryView.UnreachableFor > 0 && !view.PrimaryView.ConnectionRefused &&
+		now.HasPrimaryView && now.Primary.Target == view.Primary.Target && now.PrimaryView.UnreachableFor == 0
 }
 
 // allStopped has every proxy stop relying on the primary of term, and reports
@@ -383,7 +383,7 @@
 func (r *Replacer) allStopped(ctx context.Context, term uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	r.config.Group.Bar(term)
+	r.config.Group.RevokePrimary(term)
 	members, err := r.config.Locks.ReadMembers(ctx)
 	if err != nil {
 		return false
@@ -409,10 +409,10 @@
 // demote has the present primary step down: always for a planned replacement,
 // and else if it answers.
 func (r *Replacer) demote(ctx context.Context, view rosefleet.View, need Action, term uint64) (bool, rosemary.Status) {
-	if !view.LeadKnown || need != ActionSwitchover && view.LeadView.FailingFor > 0 {
+	if !view.HasPrimaryView || need != ActionSwitchover && view.PrimaryView.UnreachableFor > 0 {
 		return false, rosemary.Status{}
 	}
-	status, err := r.order(ctx, view.Lead.Target, "step down", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
+	status, err := r.order(ctx, view.Primary.Target, "step down", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
 		return l.StepDown(deadline, term)
 	})
 	return err == nil && status.Role == rosemary.RoleReplica, status
@@ -425,7 +425,7 @@
 	answers := make([]rosemary.Status, len(view.Targets))
 	errs := make([]error, len(view.Targets))
 	for i, t := range view.Targets {
-		if t.ID == view.Lead.Target && view.LeadKnown {
+		if t.ID == view.Primary.Target && view.HasPrimaryView {
 			continue
 		}
 		tasks.Go(func() error {
@@ -440,7 +440,7 @@
 	_ = tasks.Wait()
 	var fenced []rosemary.Status
 	for i, t := range view.Targets {
-		if t.ID == view.Lead.Target && view.LeadKnown {
+		if t.ID == view.Primary.Target && view.HasPrimaryView {
 			continue
 		}
 		held := errs[i] == nil && (steppedDown || answers[i].PausedTerm > 0)
@@ -561,8 +561,8 @@
 	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) && roseclock.Sleep(ctx, replaceTick) {
 		view := r.config.Group.View()
-		if view.HasLead && view.Lead.Target == successor {
-			klog.InfoS("replacement done", "group", r.config.Group.Name(), "primary", successor, "term", view.Lead.Term)
+		if view.HasPrimary && view.Primary.Target == successor {
+			klog.InfoS("replacement done", "group", r.config.Group.Name(), "primary", successor, "term", view.Primary.Term)
 			return nil
 		}
 	}
--- a/pkg/rosesupervisor/replace_test.go
+++ b/pkg/rosesupervisor/replace_test.go
@@ -18,8 +18,8 @@
 // led is a group that a leads.
 func led(change func(v *rosefleet.View)) rosefleet.View {
 	v := rosefleet.View{
-		Term: 1, HasLead: true, LeadKnown: true, Certain: true, Lead: rosegroup.Lead{Target: "a", Term: 1},
-		LeadView: seen("a"), Targets: []rosefleet.TargetView{seen("a"), seen("b"), seen("c")},
+		Term: 1, HasPrimary: true, HasPrimaryView: true, PrimaryValid: true, Primary: rosegroup.PrimaryLease{Target: "a", Term: 1},
+		PrimaryView: seen("a"), Targets: []rosefleet.TargetView{seen("a"), seen("b"), seen("c")},
 	}
 	change(&v)
 	return v
@@ -32,19 +32,19 @@
 		want   Action
 	}{
 		{"led", func(*rosefleet.View) {}, ActionNone},
-		{"refused", func(v *rosefleet.View) { v.LeadView.FailingFor, v.LeadView.Refused = 1, true }, ActionFailover},
-		{"silent", func(v *rosefleet.View) { v.LeadView.FailingFor = 1 }, ActionFailover},
-		{"leaving", func(v *rosefleet.View) { v.LeadView.Leaving = true }, ActionSwitchover},
-		{"without a primary", func(v *rosefleet.View) { v.HasLead, v.LeadKnown = false, false }, ActionFailover},
+		{"refused", func(v *rosefleet.View) { v.PrimaryView.UnreachableFor, v.PrimaryView.ConnectionRefused = 1, true }, ActionFailover},
+		{"silent", func(v *rosefleet.View) { v.PrimaryView.UnreachableFor = 1 }, ActionFailover},
+		{"leaving", func(v *rosefleet.View) { v.PrimaryView.Leaving = true }, ActionSwitchover},
+		{"without a primary", func(v *rosefleet.View) { v.HasPrimary, v.HasPrimaryView = false, false }, ActionFailover},
 		{"a target of which nothing is known", func(v *rosefleet.View) {
-			v.HasLead, v.LeadKnown = false, false
+			v.HasPrimary, v.HasPrimaryView = false, false
 			v.Targets[1].SeenAt = time.Time{}
 		}, ActionNone},
 		{"a promotion left half-way", func(v *rosefleet.View) {
-			v.Certain = false
+			v.PrimaryValid = false
 			v.Targets[1].Status.PausedTerm = 2
 		}, ActionFailover},
-		{"uncertain without a fence", func(v *rosefleet.View) { v.Certain = false }, ActionNone},
+		{"uncertain without a fence", func(v *rosefleet.View) { v.PrimaryValid = false }, ActionNone},
 		{"nothing heard yet", func(v *rosefleet.View) { v.Term = 0 }, ActionNone},
 		{"alone", func(v *rosefleet.View) { v.Targets = v.Targets[:1] }, ActionNone},
 	}
--- a/pkg/rosesupervisor/supervisor.go
+++ b/pkg/rosesupervisor/supervisor.go
@@ -181,7 +181,7 @@
 	if err != nil {
 		return rosemary.Status{}, err
 	}
-	s.config.Group.Note(rosegroup.Fact{Status: status, SentAt: sent, ReceivedAt: time.Now()})
+	s.config.Group.Observe(rosegroup.Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
 	s.config.Announce(status)
 	s.config.OnPromotion(time.Since(started))
 	klog.InfoS("promotion done", "proxy", s.config.Self, "database", s.database(), "term", term,
@@ -198,7 +198,7 @@
 func (s *Supervisor) follow(ctx context.Context, view rosegroup.View, primary rosemary.Status) {
 	var calls sync.WaitGroup
 	for _, t := range view.Targets {
-		if t.ID == primary.Target || t.Reach.Down() {
+		if t.ID == primary.Target || t.Reachability.Down() {
 			continue
 		}
 		calls.Go(func() { s.followOne(ctx, t.ID, primary) })
@@ -215,5 +215,5 @@
 		klog.V(1).InfoS("follow failed", "proxy", s.config.Self, "database", s.database(), "target", id, "err", err)
 		return
 	}
-	s.config.Group.Note(rosegroup.Fact{Status: status, SentAt: sent, ReceivedAt: time.Now()})
+	s.config.Group.Observe(rosegroup.Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
 }
