--- a/internal/rosecommand/vm.go
+++ b/internal/rosecommand/vm.go
@@ -151,14 +151,14 @@
 	switch {
 	case d.stopping:
 	case cut:
-		d.front.SetDrain(rosecaller.Drain{Idle: time.Now().Add(rotationTime)})
+		d.front.SetDrain(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(rotationTime)})
 	default:
-		d.front.SetDrain(rosecaller.Drain{})
+		d.front.SetDrain(rosecaller.DrainDeadlines{})
 	}
 }
 
 // stop begins the drain of a shutdown.
-func (d *drainer) stop(drain rosecaller.Drain) {
+func (d *drainer) stop(drain rosecaller.DrainDeadlines) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopping = true
@@ -173,7 +173,7 @@
 	klog.InfoS("proxy stopping", "proxy", settings.Name, "callers", front.Callers(), "grace", grace)
 	node.Unready()
 	idleFrom := started.Add(min(rotationTime, grace/3))
-	drain := rosecaller.Drain{Idle: idleFrom, Blocks: started.Add(grace / 2)}
+	drain := rosecaller.DrainDeadlines{IdleSessions: idleFrom, OpenTransactions: started.Add(grace / 2)}
 	node.SetDrain(drain)
 	drainer.stop(drain)
 	time.Sleep(time.Until(idleFrom))
--- a/internal/rosefront/execute.go
+++ b/internal/rosefront/execute.go
@@ -46,7 +46,7 @@
 		return c.lease, nil
 	}
 	return c.router.Acquire(ctx, roseroute.Request{
-		MinPosition:  c.session.Floor,
+		MinPosition:  c.session.MinPosition,
 		Class:        r.class,
 		Flow:         r.flow(),
 		ForcePrimary: r.forcePrimary,
--- a/internal/rosefront/filter_confirm.go
+++ b/internal/rosefront/filter_confirm.go
@@ -29,7 +29,7 @@
 	c := r.caller
 	started := time.Now()
 	before := c.session
-	c.session = c.session.WithFloor(r.committed)
+	c.session = c.session.WithMinPosition(r.committed)
 	if s.config.AcknowledgeOnPrimary {
 		return nil
 	}
--- a/internal/rosefront/filter_floor.go
+++ b/internal/rosefront/filter_floor.go
@@ -12,7 +12,7 @@
 func floorFilter(_ *Server, next handler) handler {
 	return func(ctx context.Context, r *request) error {
 		c := r.caller
-		if !c.session.FloorUnknown || !r.class.ReadOnly || c.lease != nil {
+		if !c.session.MinPositionUnknown || !r.class.ReadOnly || c.lease != nil {
 			return next(ctx, r)
 		}
 		floor, err := c.router.Group().MinReadPosition(ctx, time.Now())
@@ -20,7 +20,7 @@
 			return refuse(rosemary.KindNoPrimary, "what the session wrote before can't be found out without the primary",
 				"pass the session's rosemary.token, or retry later")
 		}
-		c.session = c.session.WithSampledFloor(floor)
+		c.session = c.session.WithSampledMinPosition(floor)
 		return next(ctx, r)
 	}
 }
--- a/internal/rosefront/request.go
+++ b/internal/rosefront/request.go
@@ -61,7 +61,7 @@
 	}
 	r.scan()
 	r.class, r.classError = r.findClass()
-	r.id = r.tags.Request
+	r.id = r.tags.RequestID
 	if r.id == "" {
 		r.id = c.requestID
 	}
@@ -94,8 +94,8 @@
 	if r.tags.Class == "" {
 		r.tags.Class = script.Tags.Class
 	}
-	if r.tags.Request == "" {
-		r.tags.Request = script.Tags.Request
+	if r.tags.RequestID == "" {
+		r.tags.RequestID = script.Tags.RequestID
 	}
 }
 
@@ -194,7 +194,7 @@
 // ready ends the answer with the session's new token and its state.
 func (r *request) ready() {
 	c := r.caller
-	if token := c.server.config.Keys.Token(c.session); token != c.token {
+	if token := c.server.config.Keys.Sign(c.session); token != c.token {
 		c.token = token
 		r.answer.send(&pgproto3.ParameterStatus{Name: settingToken, Value: token})
 	}
--- a/internal/rosefront/settings.go
+++ b/internal/rosefront/settings.go
@@ -54,12 +54,12 @@
 func (c *caller) set(name, value string) error {
 	switch name {
 	case settingToken:
-		session, err := c.server.config.Keys.Open(value, c.tenant.Name, c.session.Database)
+		session, err := c.server.config.Keys.Verify(value, c.tenant.Name, c.session.Database)
 		if err != nil {
 			return err
 		}
 		if session.Name == c.session.Name {
-			session = session.WithFloor(c.session.Floor)
+			session = session.WithMinPosition(c.session.MinPosition)
 		}
 		c.session = session
 		return nil
@@ -104,7 +104,7 @@
 func (c *caller) show(name string) (string, error) {
 	switch name {
 	case settingToken:
-		return c.server.config.Keys.Token(c.session), nil
+		return c.server.config.Keys.Sign(c.session), nil
 	case settingSession:
 		return c.session.Name, nil
 	case settingClass:
--- a/internal/rosefront/settle.go
+++ b/internal/rosefront/settle.go
@@ -53,7 +53,7 @@
 	}
 	outcome := e.outcome(written)
 	if outcome == rosemary.OutcomeUnknown && !e.lease.Replica && r.executes {
-		c.session = c.session.WithUnknownFloor()
+		c.session = c.session.WithUnknownMinPosition()
 	}
 	if ctx.Err() != nil {
 		return &rosemary.Refusal{
--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -49,7 +49,7 @@
 	duty    *rosesupervisor.LockManager
 	budget  *roseadmit.RetryBudget
 	mesh    *rosepeer.Mesh
-	carrier *rosecaller.Carrier
+	carrier *rosecaller.LocalExecutor
 	relays  *roserelay.Server
 	homes   *roserelay.Client
 	metrics *Metrics
@@ -108,7 +108,7 @@
 		readTargets: make(chan struct{}, 1),
 	}
 	n.mesh = n.newMesh()
-	n.carrier = rosecaller.NewCarrier(rosecaller.CarrierConfig{Group: n.Group, Budget: n.budget})
+	n.carrier = rosecaller.NewLocalExecutor(rosecaller.LocalExecutorConfig{Group: n.Group, Budget: n.budget})
 	n.relays = roserelay.NewServer(roserelay.ServerConfig{Executor: here{n}})
 	n.homes = roserelay.NewClient(roserelay.ClientConfig{Dialer: config.Dialer})
 	n.duty = rosesupervisor.NewLockManager(rosesupervisor.LockManagerConfig{
@@ -250,8 +250,8 @@
 // defaultTransactionIdle holds before a configuration says otherwise.
 const defaultTransactionIdle = 10 * time.Second
 
-// TransactionIdle is how long a transaction may rest.
-func (n *Node) TransactionIdle() time.Duration {
+// TransactionIdleTimeout is how long a transaction may rest.
+func (n *Node) TransactionIdleTimeout() time.Duration {
 	if c := n.configuration.Load(); c != nil && c.TransactionIdleTimeout > 0 {
 		return c.TransactionIdleTimeout
 	}
@@ -309,7 +309,7 @@
 }
 
 // SetDrain ends the transactions that other proxies have open here.
-func (n *Node) SetDrain(drain rosecaller.Drain) { n.relays.SetDrain(drain) }
+func (n *Node) SetDrain(drain rosecaller.DrainDeadlines) { n.relays.SetDrain(drain) }
 
 // Wait returns once nothing is under way here for other proxies, or ctx ends.
 func (n *Node) Wait(ctx context.Context) { n.relays.Wait(ctx) }
--- a/internal/rosenode/placement.go
+++ b/internal/rosenode/placement.go
@@ -34,7 +34,7 @@
 	for _, home := range p.homes(task) {
 		result, delivery := p.node.homes.Run(ctx, home, task)
 		if delivery == roserelay.Unanswered {
-			result = rosecaller.Lost(task, result.Target, false, false)
+			result = rosecaller.ConnectionLostResult(task, result.Target, false, false)
 		}
 		if delivery != roserelay.NotSent && !p.elsewhere(ctx, task, home, result) {
 			return result
@@ -55,7 +55,7 @@
 	for _, home := range p.homes(task) {
 		transaction, result, delivery := p.node.homes.Begin(ctx, home, task)
 		if delivery == roserelay.Unanswered {
-			result = rosecaller.Lost(task, result.Target, true, false)
+			result = rosecaller.ConnectionLostResult(task, result.Target, true, false)
 		}
 		if transaction != nil || delivery != roserelay.NotSent && !p.elsewhere(ctx, task, home, result) {
 			return transaction, result
--- a/pkg/rosecaller/block.go
+++ b/pkg/rosecaller/block.go
@@ -140,8 +140,8 @@
 // lost ends a transaction whose link was lost.
 func (j *job) lost(sent bool) *rosemary.Refusal {
 	j.abandonLease()
-	result := Lost(j.task, j.target, true, j.wrote && sent)
-	j.block, j.task.Uncertain = result.Answer.TransactionState, result.Uncertain
+	result := ConnectionLostResult(j.task, j.target, true, j.wrote && sent)
+	j.block, j.task.MinPositionUnknown = result.Answer.TransactionState, result.MinPositionUnknown
 	return result.Refusal
 }
 
@@ -153,16 +153,16 @@
 	j.block = rosemary.TransactionNone
 	if answer.Failure != rosemary.FailureNone {
 		if j.wrote && answer.Failure.MayHaveRun() {
-			j.task.Uncertain = true
+			j.task.MinPositionUnknown = true
 		}
 		return answer, nil
 	}
 	if !certain {
-		j.task.Uncertain = true
+		j.task.MinPositionUnknown = true
 		return rosemary.Answer{}, unknown(target)
 	}
 	if j.wrote {
-		j.task.Floor = j.task.Floor.Max(answer.Position)
+		j.task.MinPosition = j.task.MinPosition.Max(answer.Position)
 	}
 	return answer, nil
 }
--- a/pkg/rosecaller/carrier.go
+++ b/pkg/rosecaller/carrier.go
@@ -9,32 +9,32 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// CarrierConfig sets up a Carrier.
-type CarrierConfig struct {
+// LocalExecutorConfig sets up a Carrier.
+type LocalExecutorConfig struct {
 	// Group returns the targets of a group.
 	Group  func(name string) (*rosefleet.Group, bool)
 	Budget *roseadmit.RetryBudget
 }
 
-// Carrier runs tasks on the targets that this proxy has links to.
-type Carrier struct {
-	config CarrierConfig
+// LocalExecutor runs tasks on the targets that this proxy has links to.
+type LocalExecutor struct {
+	config LocalExecutorConfig
 }
 
-var _ Executor = (*Carrier)(nil)
+var _ Executor = (*LocalExecutor)(nil)
 
-// NewCarrier returns a carrier.
-func NewCarrier(config CarrierConfig) *Carrier { return &Carrier{config} }
+// NewLocalExecutor returns a carrier.
+func NewLocalExecutor(config LocalExecutorConfig) *LocalExecutor { return &LocalExecutor{config} }
 
 // Run runs a statement outside a transaction.
-func (c *Carrier) Run(ctx context.Context, task Task) Result {
+func (c *LocalExecutor) Run(ctx context.Context, task Task) Result {
 	c.config.Budget.Deposit()
 	j := &job{carrier: c, task: task}
 	return j.result(j.runAlone(ctx, task.Statement))
 }
 
 // Begin opens a transaction with its first statement.
-func (c *Carrier) Begin(ctx context.Context, task Task) (Transaction, Result) {
+func (c *LocalExecutor) Begin(ctx context.Context, task Task) (Transaction, Result) {
 	c.config.Budget.Deposit()
 	j := &job{carrier: c, task: task, block: rosemary.TransactionOpen}
 	result := j.result(j.runFirst(ctx, task.Statement))
@@ -46,7 +46,7 @@
 
 // job is one task, or one transaction with the task that it runs now.
 type job struct {
-	carrier *Carrier
+	carrier *LocalExecutor
 	task    Task
 	block   rosemary.TransactionState
 	lease   *rosefleet.Lease
@@ -59,7 +59,7 @@
 var _ Transaction = (*job)(nil)
 
 // Next runs a further statement of the transaction.
-func (j *job) Next(_ context.Context, task Task) Result {
+func (j *job) Execute(_ context.Context, task Task) Result {
 	j.task = task
 	return j.result(j.runNext(task.Deadline, task.Statement))
 }
@@ -80,7 +80,7 @@
 func (j *job) result(answer rosemary.Answer, refusal *rosemary.Refusal) Result {
 	answer.TransactionState = j.block
 	return Result{
-		Answer: answer, Refusal: refusal, Floor: j.task.Floor, Uncertain: j.task.Uncertain,
+		Answer: answer, Refusal: refusal, MinPosition: j.task.MinPosition, MinPositionUnknown: j.task.MinPositionUnknown,
 		Target: j.target, Primary: j.primary, Open: j.lease != nil,
 	}
 }
--- a/pkg/rosecaller/drain.go
+++ b/pkg/rosecaller/drain.go
@@ -6,21 +6,21 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Drain tells how long sessions may still wait for their callers while the
+// DrainDeadlines tells how long sessions may still wait for their callers while the
 // proxy shuts down. The zero Drain sets no limit.
-type Drain struct {
+type DrainDeadlines struct {
 	// Idle is when sessions outside a transaction end.
-	Idle time.Time
+	IdleSessions time.Time
 	// Blocks is when open transactions end.
-	Blocks time.Time
+	OpenTransactions time.Time
 }
 
-// Deadline returns when the wait for a caller's next message ends; zero means
+// ReadDeadline returns when the wait for a caller's next message ends; zero means
 // never. A transaction may rest for idleLimit.
-func (d Drain) Deadline(block rosemary.TransactionState, idleLimit time.Duration) time.Time {
-	limit := d.Idle
+func (d DrainDeadlines) ReadDeadline(block rosemary.TransactionState, idleLimit time.Duration) time.Time {
+	limit := d.IdleSessions
 	if block != rosemary.TransactionNone {
-		limit = d.Blocks
+		limit = d.OpenTransactions
 	}
 	if idleLimit <= 0 {
 		return limit
--- a/pkg/rosecaller/run.go
+++ b/pkg/rosecaller/run.go
@@ -56,12 +56,12 @@
 		Primary:      true,
 		Priority:     j.task.Route.Priority,
 		Deadline:     a.deadline,
-		SoftDeadline: j.task.Aim,
-		Owner:        j.task.Owner,
+		SoftDeadline: j.task.SoftDeadline,
+		Owner:        j.task.SessionID,
 		Avoid:        a.avoid,
 	}
 	class := j.task.Route.Class
-	if a.primary || !readOnly || class.MaxAge <= floorMargin || class.ReadYourWrites && j.task.Uncertain {
+	if a.primary || !readOnly || class.MaxAge <= floorMargin || class.ReadYourWrites && j.task.MinPositionUnknown {
 		return request
 	}
 	floor, known := a.group.MinPosition(class.MaxAge - floorMargin)
@@ -69,7 +69,7 @@
 		return request
 	}
 	if class.ReadYourWrites {
-		floor = floor.Max(j.task.Floor)
+		floor = floor.Max(j.task.MinPosition)
 	}
 	request.Primary, request.MinPosition = false, floor
 	return request
@@ -106,7 +106,7 @@
 		case tryDone:
 			return answer, nil
 		case tryUnknown:
-			j.task.Uncertain = true
+			j.task.MinPositionUnknown = true
 			return rosemary.Answer{}, unknown(lease.Target())
 		}
 		if !j.again(ctx, a) {
@@ -201,7 +201,7 @@
 			return tryAgain
 		}
 		if writes {
-			j.task.Floor = j.task.Floor.Max(answer.Position)
+			j.task.MinPosition = j.task.MinPosition.Max(answer.Position)
 		}
 		return tryDone
 	case rosemary.FailureLagging:
--- a/pkg/rosecaller/session.go
+++ b/pkg/rosecaller/session.go
@@ -18,7 +18,7 @@
 	// Route returns the route of a database.
 	Route(database string) (rosemary.Route, bool)
 	// TransactionIdle is how long a transaction may rest.
-	TransactionIdle() time.Duration
+	TransactionIdleTimeout() time.Duration
 }
 
 // Config sets up a Session.
@@ -71,15 +71,15 @@
 	return &Session{config: config, owner: owners.Add(1), prepared: make(map[string]rosemary.Statement)}
 }
 
-// Block returns the state of the session's transaction.
-func (s *Session) Block() rosemary.TransactionState { return s.block }
+// TransactionState returns the state of the session's transaction.
+func (s *Session) TransactionState() rosemary.TransactionState { return s.block }
 
-// IdleLimit is how long the caller may rest now; zero means without limit.
-func (s *Session) IdleLimit() time.Duration {
+// IdleTimeout is how long the caller may rest now; zero means without limit.
+func (s *Session) IdleTimeout() time.Duration {
 	if s.block != rosemary.TransactionOpen {
 		return 0
 	}
-	return s.config.Directory.TransactionIdle()
+	return s.config.Directory.TransactionIdleTimeout()
 }
 
 // Expire ends a transaction whose caller rested for too long. The caller
@@ -163,7 +163,7 @@
 	if statement.Kind == rosemary.StatementCommit && s.block != rosemary.TransactionOpen {
 		return s.commitWithoutBlock()
 	}
-	task := Task{Owner: s.owner, Values: s.values, Floor: s.floor, Uncertain: s.uncertain}
+	task := Task{SessionID: s.owner, Values: s.values, MinPosition: s.floor, MinPositionUnknown: s.uncertain}
 	if statement.Kind == rosemary.StatementExecute {
 		p, known := s.prepared[statement.Name]
 		if !known {
@@ -181,7 +181,7 @@
 	}
 	started := time.Now()
 	task.Statement, task.Route, task.ReadOnly = statement, s.route, s.readOnly
-	task.Deadline, task.Aim = started.Add(s.route.Class.Deadline-answerSlack), started.Add(s.route.LatencyObjective)
+	task.Deadline, task.SoftDeadline = started.Add(s.route.Class.Deadline-answerSlack), started.Add(s.route.LatencyObjective)
 	result := s.execute(ctx, task)
 	if result.Refusal == nil && result.Answer.Failure == rosemary.FailureNone {
 		s.config.Observer.Served(task, result, time.Since(started))
@@ -198,12 +198,12 @@
 	case s.transaction == nil:
 		s.transaction, result = s.config.Executor.Begin(ctx, task)
 	default:
-		result = s.transaction.Next(ctx, task)
+		result = s.transaction.Execute(ctx, task)
 	}
 	if !result.Open {
 		s.transaction = nil
 	}
-	s.block, s.floor, s.uncertain, s.asked = result.Answer.TransactionState, result.Floor, result.Uncertain, result.Target
+	s.block, s.floor, s.uncertain, s.asked = result.Answer.TransactionState, result.MinPosition, result.MinPositionUnknown, result.Target
 	return result
 }
 
--- a/pkg/rosecaller/session_test.go
+++ b/pkg/rosecaller/session_test.go
@@ -38,7 +38,9 @@
 }
 
 // Next answers a further statement.
-func (s *script) Next(_ context.Context, task rosecaller.Task) rosecaller.Result { return s.next(task) }
+func (s *script) Execute(_ context.Context, task rosecaller.Task) rosecaller.Result {
+	return s.next(task)
+}
 
 // Rollback counts.
 func (s *script) Rollback() { s.rolled++ }
@@ -49,7 +51,7 @@
 }
 
 // TransactionIdle is short.
-func (s *script) TransactionIdle() time.Duration { return time.Second }
+func (s *script) TransactionIdleTimeout() time.Duration { return time.Second }
 
 // Served and Refused do nothing.
 func (s *script) Served(rosecaller.Task, rosecaller.Result, time.Duration) {}
@@ -70,8 +72,8 @@
 
 func TestTaskCarriesTheSession(t *testing.T) {
 	c := qt.New(t)
-	done := rosecaller.Result{Answer: rosemary.Answer{Digest: "d"}, Floor: position}
-	session, s := newSession(done, done, rosecaller.Result{Refusal: &rosemary.Refusal{}, Floor: position, Uncertain: true}, done)
+	done := rosecaller.Result{Answer: rosemary.Answer{Digest: "d"}, MinPosition: position}
+	session, s := newSession(done, done, rosecaller.Result{Refusal: &rosemary.Refusal{}, MinPosition: position, MinPositionUnknown: true}, done)
 	do := func(st rosemary.Statement) { _, _ = session.Do(context.Background(), st) }
 	do(statement(rosemary.StatementSet, "tenant", "red"))
 	do(statement(rosemary.StatementPrepare, "mine", "shape"))
@@ -80,14 +82,14 @@
 	do(statement(rosemary.StatementWrite, "", "w"))
 	do(statement(rosemary.StatementRead, "", "r"))
 	c.Assert(s.tasks, qt.HasLen, 4)
-	c.Check(s.tasks[0].Floor.IsZero(), qt.IsTrue)
-	c.Check(s.tasks[1].Floor, qt.Equals, position)
+	c.Check(s.tasks[0].MinPosition.IsZero(), qt.IsTrue)
+	c.Check(s.tasks[1].MinPosition, qt.Equals, position)
 	c.Check(s.tasks[1].Values, qt.DeepEquals, map[string]string{"tenant": "red"})
 	c.Check(s.tasks[1].Prepared.Payload, qt.Equals, "shape")
 	c.Check(s.tasks[1].Statement.Name, qt.Equals, s.tasks[1].Prepared.Name)
 	c.Check(s.tasks[1].Statement.Name, qt.Not(qt.Equals), "mine")
-	c.Check(s.tasks[2].Uncertain, qt.IsFalse)
-	c.Check(s.tasks[3].Uncertain, qt.IsTrue)
+	c.Check(s.tasks[2].MinPositionUnknown, qt.IsFalse)
+	c.Check(s.tasks[3].MinPositionUnknown, qt.IsTrue)
 }
 
 func TestTransactionStaysWithItsExecutor(t *testing.T) {
@@ -99,13 +101,13 @@
 		_, refusal := session.Do(context.Background(), statement(kind, "", "x"))
 		c.Assert(refusal == nil, qt.IsTrue)
 	}
-	c.Check(session.Block(), qt.Equals, rosemary.TransactionFailed)
+	c.Check(session.TransactionState(), qt.Equals, rosemary.TransactionFailed)
 	_, refusal := session.Do(context.Background(), statement(rosemary.StatementRead, "", "x"))
 	c.Check(refusal.Kind, qt.Equals, rosemary.KindProtocol)
 	_, refusal = session.Do(context.Background(), statement(rosemary.StatementRollback, "", ""))
 	c.Check(refusal == nil, qt.IsTrue)
 	c.Check(s.rolled, qt.Equals, 1)
-	c.Check(session.Block(), qt.Equals, rosemary.TransactionNone)
+	c.Check(session.TransactionState(), qt.Equals, rosemary.TransactionNone)
 }
 
 func TestExpiredTransactionIsTold(t *testing.T) {
@@ -113,19 +115,19 @@
 	session, s := newSession(rosecaller.Result{Answer: rosemary.Answer{Digest: "d", TransactionState: rosemary.TransactionOpen}, Open: true})
 	_, _ = session.Do(context.Background(), statement(rosemary.StatementBegin, "", ""))
 	_, _ = session.Do(context.Background(), statement(rosemary.StatementWrite, "", "w"))
-	c.Check(session.IdleLimit(), qt.Equals, time.Second)
+	c.Check(session.IdleTimeout(), qt.Equals, time.Second)
 	session.Expire()
 	c.Check(s.rolled, qt.Equals, 1)
 	_, refusal := session.Do(context.Background(), statement(rosemary.StatementWrite, "", "w"))
 	c.Check(refusal.Kind, qt.Equals, rosemary.KindAborted)
 	_, refusal = session.Do(context.Background(), statement(rosemary.StatementCommit, "", ""))
 	c.Check(refusal.Kind, qt.Equals, rosemary.KindAborted)
-	c.Check(session.Block(), qt.Equals, rosemary.TransactionNone)
+	c.Check(session.TransactionState(), qt.Equals, rosemary.TransactionNone)
 }
 
 func TestWhatALostAnswerMeans(t *testing.T) {
 	task := func(kind rosemary.StatementKind) rosecaller.Task {
-		return rosecaller.Task{Statement: statement(kind, "", "x"), Floor: position}
+		return rosecaller.Task{Statement: statement(kind, "", "x"), MinPosition: position}
 	}
 	tests := []struct {
 		name           string
@@ -143,11 +145,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			result := rosecaller.Lost(task(test.kind), "t-1", test.inBlock, test.wrote)
+			result := rosecaller.ConnectionLostResult(task(test.kind), "t-1", test.inBlock, test.wrote)
 			qt.Check(t, result.Refusal.Outcome, qt.Equals, test.outcome)
 			qt.Check(t, result.Answer.TransactionState, qt.Equals, test.block)
-			qt.Check(t, result.Uncertain, qt.Equals, test.uncertain)
-			qt.Check(t, result.Floor, qt.Equals, position)
+			qt.Check(t, result.MinPositionUnknown, qt.Equals, test.uncertain)
+			qt.Check(t, result.MinPosition, qt.Equals, position)
 			qt.Check(t, result.Open, qt.IsFalse)
 		})
 	}
--- a/pkg/rosecaller/task.go
+++ b/pkg/rosecaller/task.go
@@ -14,7 +14,7 @@
 	// transaction, began.
 	Route rosemary.Route
 	// Owner tells sessions apart.
-	Owner     uint64
+	SessionID uint64
 	Statement rosemary.Statement
 	// ReadOnly is set in a transaction that only reads.
 	ReadOnly bool
@@ -23,14 +23,14 @@
 	// Prepared prepares what an execute names; zero for other statements.
 	Prepared rosemary.Statement
 	// Floor is the position of the session's last acknowledged write.
-	Floor rosemary.Position
+	MinPosition rosemary.Position
 	// Uncertain is set once the outcome of a write is unknown: its position
 	// is not known either, so reads go to the primary.
-	Uncertain bool
+	MinPositionUnknown bool
 	// Deadline is when the answer is of no more use, Aim when it should be
 	// there.
-	Deadline time.Time
-	Aim      time.Time
+	Deadline     time.Time
+	SoftDeadline time.Time
 }
 
 // Result is what became of a task.
@@ -39,8 +39,8 @@
 	Answer  rosemary.Answer
 	Refusal *rosemary.Refusal
 	// Floor and Uncertain are the session's after the task.
-	Floor     rosemary.Position
-	Uncertain bool
+	MinPosition        rosemary.Position
+	MinPositionUnknown bool
 	// Target is the last one that was asked, and Primary is set if it led its
 	// group.
 	Target  rosemary.TargetID
@@ -63,19 +63,19 @@
 type Transaction interface {
 	// Next runs a further statement. Only an open result may be followed by
 	// another.
-	Next(ctx context.Context, task Task) Result
+	Execute(ctx context.Context, task Task) Result
 	// Rollback ends the transaction on its target.
 	Rollback()
 }
 
-// Lost returns the result of a task whose answer can't come any more. A
+// ConnectionLostResult returns the result of a task whose answer can't come any more. A
 // transaction that wasn't asked to commit is rolled back with its link.
-func Lost(task Task, target rosemary.TargetID, inBlock, wrote bool) Result {
-	result := Result{Floor: task.Floor, Uncertain: task.Uncertain, Target: target}
+func ConnectionLostResult(task Task, target rosemary.TargetID, inBlock, wrote bool) Result {
+	result := Result{MinPosition: task.MinPosition, MinPositionUnknown: task.MinPositionUnknown, Target: target}
 	commits := task.Statement.Kind == rosemary.StatementCommit
 	switch {
 	case commits && wrote, !inBlock && task.Statement.Writes:
-		result.Uncertain = true
+		result.MinPositionUnknown = true
 		result.Refusal = unknown(target)
 	case commits:
 		result.Refusal = aborted("the link to the target was lost before anything was committed")
--- a/pkg/roserelay/client.go
+++ b/pkg/roserelay/client.go
@@ -135,14 +135,14 @@
 var _ rosecaller.Transaction = (*remote)(nil)
 
 // Next has the home run a further statement.
-func (r *remote) Next(ctx context.Context, task rosecaller.Task) rosecaller.Result {
+func (r *remote) Execute(ctx context.Context, task rosecaller.Task) rosecaller.Result {
 	r.wrote = r.wrote || task.Statement.Writes
 	result, _, delivery := r.link.order(ctx, &rosewire.Order{Do: doNext, Transaction: &r.number}, task)
 	switch delivery {
 	case NotSent:
-		result = rosecaller.Lost(task, "", true, false)
+		result = rosecaller.ConnectionLostResult(task, "", true, false)
 	case Unanswered:
-		result = rosecaller.Lost(task, "", true, r.wrote)
+		result = rosecaller.ConnectionLostResult(task, "", true, r.wrote)
 	}
 	if delivery != Answered {
 		r.Rollback()
--- a/pkg/roserelay/codec.go
+++ b/pkg/roserelay/codec.go
@@ -80,11 +80,11 @@
 		OwnWrites:   optional(t.Route.Class.ReadYourWrites),
 		Priority:    optional(uint64(t.Route.Priority)),
 		DeadlineMs:  time.Until(t.Deadline).Milliseconds(),
-		AimMs:       time.Until(t.Aim).Milliseconds(),
-		Owner:       t.Owner,
-		FloorTerm:   optional(t.Floor.LogTerm),
-		FloorOffset: optional(t.Floor.Offset),
-		Uncertain:   optional(t.Uncertain),
+		AimMs:       time.Until(t.SoftDeadline).Milliseconds(),
+		Owner:       t.SessionID,
+		FloorTerm:   optional(t.MinPosition.LogTerm),
+		FloorOffset: optional(t.MinPosition.Offset),
+		Uncertain:   optional(t.MinPositionUnknown),
 		ReadOnly:    optional(t.ReadOnly),
 		Statement:   encodeStatement(t.Statement),
 	}
@@ -100,14 +100,14 @@
 
 func decodeTask(t *rosewire.Task, receivedAt time.Time) rosecaller.Task {
 	task := rosecaller.Task{
-		Owner:     t.Owner,
-		Statement: decodeStatement(&t.Statement),
-		ReadOnly:  orZero(t.ReadOnly),
-		Prepared:  decodeStatement(t.Prepared),
-		Floor:     rosemary.Position{LogTerm: orZero(t.FloorTerm), Offset: orZero(t.FloorOffset)},
-		Uncertain: orZero(t.Uncertain),
-		Deadline:  receivedAt.Add(time.Duration(t.DeadlineMs) * time.Millisecond),
-		Aim:       receivedAt.Add(time.Duration(t.AimMs) * time.Millisecond),
+		SessionID:          t.Owner,
+		Statement:          decodeStatement(&t.Statement),
+		ReadOnly:           orZero(t.ReadOnly),
+		Prepared:           decodeStatement(t.Prepared),
+		MinPosition:        rosemary.Position{LogTerm: orZero(t.FloorTerm), Offset: orZero(t.FloorOffset)},
+		MinPositionUnknown: orZero(t.Uncertain),
+		Deadline:           receivedAt.Add(time.Duration(t.DeadlineMs) * time.Millisecond),
+		SoftDeadline:       receivedAt.Add(time.Duration(t.AimMs) * time.Millisecond),
 	}
 	task.Route.Group = t.Group
 	task.Route.Priority = int(orZero(t.Priority))
@@ -132,9 +132,9 @@
 		Code:        optional(r.Answer.Code),
 		Message:     optional(r.Answer.Message),
 		Block:       optional(uint64(r.Answer.TransactionState)),
-		FloorTerm:   optional(r.Floor.LogTerm),
-		FloorOffset: optional(r.Floor.Offset),
-		Uncertain:   optional(r.Uncertain),
+		FloorTerm:   optional(r.MinPosition.LogTerm),
+		FloorOffset: optional(r.MinPosition.Offset),
+		Uncertain:   optional(r.MinPositionUnknown),
 		Target:      optional(string(r.Target)),
 		Primary:     optional(r.Primary),
 		Open:        optional(r.Open),
@@ -154,11 +154,11 @@
 			Rows: r.Rows, Digest: orZero(r.Digest), Failure: rosemary.Failure(orZero(r.Failure)),
 			Code: orZero(r.Code), Message: orZero(r.Message), TransactionState: rosemary.TransactionState(orZero(r.Block)),
 		},
-		Floor:     rosemary.Position{LogTerm: orZero(r.FloorTerm), Offset: orZero(r.FloorOffset)},
-		Uncertain: orZero(r.Uncertain),
-		Target:    rosemary.TargetID(orZero(r.Target)),
-		Primary:   orZero(r.Primary),
-		Open:      orZero(r.Open),
+		MinPosition:        rosemary.Position{LogTerm: orZero(r.FloorTerm), Offset: orZero(r.FloorOffset)},
+		MinPositionUnknown: orZero(r.Uncertain),
+		Target:             rosemary.TargetID(orZero(r.Target)),
+		Primary:            orZero(r.Primary),
+		Open:               orZero(r.Open),
 	}
 	if r.Refusal != nil {
 		result.Refusal = &rosemary.Refusal{
--- a/pkg/roserelay/relay_test.go
+++ b/pkg/roserelay/relay_test.go
@@ -34,7 +34,7 @@
 	defer e.mu.Unlock()
 	e.seen = append(e.seen, task)
 	return rosecaller.Result{
-		Answer: rosemary.Answer{Rows: []string{"row"}, Digest: "digest"}, Floor: rosemary.Position{LogTerm: 2, Offset: 7},
+		Answer: rosemary.Answer{Rows: []string{"row"}, Digest: "digest"}, MinPosition: rosemary.Position{LogTerm: 2, Offset: 7},
 		Target: "t-1", Primary: true,
 	}
 }
@@ -66,7 +66,7 @@
 }
 
 // Next goes on until a commit.
-func (t *transaction) Next(_ context.Context, task rosecaller.Task) rosecaller.Result {
+func (t *transaction) Execute(_ context.Context, task rosecaller.Task) rosecaller.Result {
 	result := t.executor.note(task)
 	if task.Statement.Kind != rosemary.StatementCommit {
 		result.Open, result.Answer.TransactionState = true, rosemary.TransactionOpen
@@ -124,11 +124,11 @@
 func task(kind rosemary.StatementKind, id string) rosecaller.Task {
 	now := time.Now()
 	return rosecaller.Task{
-		Route: rosemary.Route{Group: "g", Priority: 2, Class: rosemary.Class{Name: "own", MaxAge: 2500 * time.Millisecond, ReadYourWrites: true}},
-		Owner: 9, Values: map[string]string{"tenant": "red"}, Floor: rosemary.Position{LogTerm: 2, Offset: 5},
+		Route:     rosemary.Route{Group: "g", Priority: 2, Class: rosemary.Class{Name: "own", MaxAge: 2500 * time.Millisecond, ReadYourWrites: true}},
+		SessionID: 9, Values: map[string]string{"tenant": "red"}, MinPosition: rosemary.Position{LogTerm: 2, Offset: 5},
 		Prepared:  rosemary.Statement{Kind: rosemary.StatementPrepare, Name: "p1", Writes: true, Payload: "q2"},
 		Statement: rosemary.Statement{ID: id, Kind: kind, Writes: kind == rosemary.StatementWrite, Payload: "WRITE 1 one"},
-		Deadline:  now.Add(1500 * time.Millisecond), Aim: now.Add(250 * time.Millisecond),
+		Deadline:  now.Add(1500 * time.Millisecond), SoftDeadline: now.Add(250 * time.Millisecond),
 	}
 }
 
@@ -143,8 +143,8 @@
 		c.Check(got.Values, qt.DeepEquals, sent.Values)
 		c.Check(got.Prepared, qt.DeepEquals, sent.Prepared)
 		c.Check(got.Statement, qt.DeepEquals, sent.Statement)
-		c.Check(got.Floor, qt.Equals, sent.Floor)
-		c.Check(got.Owner&0xffff, qt.Equals, sent.Owner)
+		c.Check(got.MinPosition, qt.Equals, sent.MinPosition)
+		c.Check(got.SessionID&0xffff, qt.Equals, sent.SessionID)
 		// Time on the way is lost, never won.
 		c.Check(got.Deadline.After(sent.Deadline.Add(10*time.Millisecond)), qt.IsFalse)
 	})
@@ -173,7 +173,7 @@
 		next := task(rosemary.StatementCommit, "b2")
 		next.Deadline = time.Now().Add(10 * time.Second)
 		asked := time.Now()
-		result = open.Next(context.Background(), next)
+		result = open.Execute(context.Background(), next)
 		c.Check(time.Since(asked) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(asked)))
 		c.Check(result.Refusal.Outcome, qt.Equals, rosemary.OutcomeUnknown)
 		// The home can't be told, and rolls back by itself.
@@ -198,17 +198,17 @@
 func TestDrainEndsWhatIsOpen(t *testing.T) {
 	between(t, 10*time.Millisecond, func(c *qt.C, e *executor, _ *rosenet.Network, server *roserelay.Server, client *roserelay.Client) {
 		open, _, _ := client.Begin(context.Background(), home, task(rosemary.StatementWrite, "b1"))
-		server.SetDrain(rosecaller.Drain{Idle: time.Now().Add(time.Second), Blocks: time.Now().Add(2 * time.Second)})
+		server.SetDrain(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(time.Second), OpenTransactions: time.Now().Add(2 * time.Second)})
 		result, _ := client.Run(context.Background(), home, task(rosemary.StatementWrite, "w1"))
 		c.Check(result.Refusal.Kind, qt.Equals, rosemary.KindDraining)
 		c.Check(result.Refusal.Outcome, qt.Equals, rosemary.OutcomeNotRun)
-		c.Check(open.Next(context.Background(), task(rosemary.StatementWrite, "b2")).Open, qt.IsTrue)
+		c.Check(open.Execute(context.Background(), task(rosemary.StatementWrite, "b2")).Open, qt.IsTrue)
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		started := time.Now()
 		server.Wait(ctx)
 		c.Check(time.Since(started) > time.Second && time.Since(started) < 3*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(started)))
 		c.Check(e.opened(), qt.Equals, 0)
-		c.Check(open.Next(context.Background(), task(rosemary.StatementCommit, "b3")).Refusal.Kind, qt.Equals, rosemary.KindAborted)
+		c.Check(open.Execute(context.Background(), task(rosemary.StatementCommit, "b3")).Refusal.Kind, qt.Equals, rosemary.KindAborted)
 	})
 }
--- a/pkg/roserelay/server.go
+++ b/pkg/roserelay/server.go
@@ -31,7 +31,7 @@
 	owners atomic.Uint64
 
 	mu    sync.Mutex
-	drain rosecaller.Drain
+	drain rosecaller.DrainDeadlines
 	links map[*served]struct{}
 }
 
@@ -96,12 +96,12 @@
 
 // SetDrain ends the transactions that other proxies have open here at the
 // drain's time, and refuses new ones from now on.
-func (s *Server) SetDrain(drain rosecaller.Drain) {
+func (s *Server) SetDrain(drain rosecaller.DrainDeadlines) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drain = drain
-	if !drain.Blocks.IsZero() {
-		time.AfterFunc(time.Until(drain.Blocks), s.expire)
+	if !drain.OpenTransactions.IsZero() {
+		time.AfterFunc(time.Until(drain.OpenTransactions), s.expire)
 	}
 }
 
@@ -128,7 +128,7 @@
 func (s *Server) draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.drain.Blocks.IsZero()
+	return !s.drain.OpenTransactions.IsZero()
 }
 
 // Wait returns once nothing is under way for other proxies, or ctx ends.
@@ -236,7 +236,7 @@
 // run runs one order and sends its result.
 func (l *served) run(ctx context.Context, order *rosewire.Order, receivedAt time.Time) {
 	task := decodeTask(order.Task, receivedAt)
-	task.Owner |= l.owners
+	task.SessionID |= l.owners
 	var result rosecaller.Result
 	switch {
 	case order.Do == doNext:
@@ -289,7 +289,7 @@
 	if t.expired {
 		return ended(task)
 	}
-	result := t.Next(ctx, task)
+	result := t.Execute(ctx, task)
 	if !result.Open {
 		l.mu.Lock()
 		delete(l.transactions, number)
@@ -325,7 +325,7 @@
 }
 
 func refused(task rosecaller.Task, refusal *rosemary.Refusal) rosecaller.Result {
-	return rosecaller.Result{Refusal: refusal, Floor: task.Floor, Uncertain: task.Uncertain}
+	return rosecaller.Result{Refusal: refusal, MinPosition: task.MinPosition, MinPositionUnknown: task.MinPositionUnknown}
 }
 
 // ended answers a statement of a transaction that was rolled back here.
--- a/pkg/rosesession/token.go
+++ b/pkg/rosesession/token.go
@@ -27,9 +27,9 @@
 	Tenant   string
 	Database string
 	// Floor is the position that reads must have reached.
-	Floor rosemary.Position
+	MinPosition rosemary.Position
 	// FloorUnknown is set until the floor of a named session was sampled.
-	FloorUnknown bool
+	MinPositionUnknown bool
 }
 
 // NewSession returns a session with a random name and no writes yet.
@@ -39,30 +39,30 @@
 	return Session{Name: hex.EncodeToString(name), Tenant: tenant, Database: database}
 }
 
-// WithFloor returns a copy whose floor is at least floor.
-func (s Session) WithFloor(floor rosemary.Position) Session {
-	s.Floor = s.Floor.Max(floor)
+// WithMinPosition returns a copy whose floor is at least floor.
+func (s Session) WithMinPosition(floor rosemary.Position) Session {
+	s.MinPosition = s.MinPosition.Max(floor)
 	return s
 }
 
-// WithSampledFloor returns a copy whose floor is known and at least floor.
-func (s Session) WithSampledFloor(floor rosemary.Position) Session {
-	s.FloorUnknown = false
-	return s.WithFloor(floor)
+// WithSampledMinPosition returns a copy whose floor is known and at least floor.
+func (s Session) WithSampledMinPosition(floor rosemary.Position) Session {
+	s.MinPositionUnknown = false
+	return s.WithMinPosition(floor)
 }
 
-// WithUnknownFloor returns a copy whose floor has to be sampled: a write of
+// WithUnknownMinPosition returns a copy whose floor has to be sampled: a write of
 // unknown outcome left no position.
-func (s Session) WithUnknownFloor() Session {
-	s.FloorUnknown = true
+func (s Session) WithUnknownMinPosition() Session {
+	s.MinPositionUnknown = true
 	return s
 }
 
 // WithName returns the session of that name, whose floor isn't known.
 func (s Session) WithName(name string) Session {
 	s.Name = name
-	s.Floor = rosemary.Position{}
-	s.FloorUnknown = true
+	s.MinPosition = rosemary.Position{}
+	s.MinPositionUnknown = true
 	return s
 }
 
@@ -97,15 +97,15 @@
 	Unknown bool
 }
 
-// Token returns the signed token of the session.
-func (k *Keys) Token(s Session) string {
+// Sign returns the signed token of the session.
+func (k *Keys) Sign(s Session) string {
 	body, err := cbor.Marshal(payload{
 		Name:     s.Name,
 		Tenant:   s.Tenant,
 		Database: s.Database,
-		LogTerm:  s.Floor.LogTerm,
-		Offset:   s.Floor.Offset,
-		Unknown:  s.FloorUnknown,
+		LogTerm:  s.MinPosition.LogTerm,
+		Offset:   s.MinPosition.Offset,
+		Unknown:  s.MinPositionUnknown,
 	})
 	if err != nil {
 		return ""
@@ -113,9 +113,9 @@
 	return encode(body) + "." + encode(sign(k.keys[0], body))
 }
 
-// Open returns the session that a token carries. The error is a
+// Verify returns the session that a token carries. The error is a
 // *rosemary.Refusal of kind bad-token.
-func (k *Keys) Open(token, tenant, database string) (Session, error) {
+func (k *Keys) Verify(token, tenant, database string) (Session, error) {
 	first, second, found := strings.Cut(token, ".")
 	body, errBody := decode(first)
 	signature, errSignature := decode(second)
@@ -133,11 +133,11 @@
 		return Session{}, badToken("it belongs to another tenant or database")
 	}
 	return Session{
-		Name:         p.Name,
-		Tenant:       tenant,
-		Database:     database,
-		Floor:        rosemary.Position{LogTerm: p.LogTerm, Offset: p.Offset},
-		FloorUnknown: p.Unknown,
+		Name:               p.Name,
+		Tenant:             tenant,
+		Database:           database,
+		MinPosition:        rosemary.Position{LogTerm: p.LogTerm, Offset: p.Offset},
+		MinPositionUnknown: p.Unknown,
 	}, nil
 }
 
--- a/pkg/rosesession/token_test.go
+++ b/pkg/rosesession/token_test.go
@@ -17,19 +17,19 @@
 	c.Assert(err, qt.IsNil)
 	fresh, err := rosesession.NewKeys([]byte("the key of this year"))
 	c.Assert(err, qt.IsNil)
-	session := rosesession.NewSession("clerk", "db").WithFloor(rosemary.Position{LogTerm: 3, Offset: 41}).WithUnknownFloor()
-	token := old.Token(session)
+	session := rosesession.NewSession("clerk", "db").WithMinPosition(rosemary.Position{LogTerm: 3, Offset: 41}).WithUnknownMinPosition()
+	token := old.Sign(session)
 
-	opened, err := both.Open(token, "clerk", "db")
+	opened, err := both.Verify(token, "clerk", "db")
 	c.Assert(err, qt.IsNil)
 	c.Check(opened, qt.DeepEquals, session)
 	for name, attempt := range map[string]func() error{
-		"retired key":      func() error { _, err := fresh.Open(token, "clerk", "db"); return err },
-		"other tenant":     func() error { _, err := both.Open(token, "runner", "db"); return err },
-		"other database":   func() error { _, err := both.Open(token, "clerk", "other"); return err },
-		"changed":          func() error { _, err := both.Open("A"+token[1:], "clerk", "db"); return err },
-		"without a dot":    func() error { _, err := both.Open("token", "clerk", "db"); return err },
-		"cut off":          func() error { _, err := both.Open(token[:len(token)-2], "clerk", "db"); return err },
+		"retired key":      func() error { _, err := fresh.Verify(token, "clerk", "db"); return err },
+		"other tenant":     func() error { _, err := both.Verify(token, "runner", "db"); return err },
+		"other database":   func() error { _, err := both.Verify(token, "clerk", "other"); return err },
+		"changed":          func() error { _, err := both.Verify("A"+token[1:], "clerk", "db"); return err },
+		"without a dot":    func() error { _, err := both.Verify("token", "clerk", "db"); return err },
+		"cut off":          func() error { _, err := both.Verify(token[:len(token)-2], "clerk", "db"); return err },
 		"of a short key":   func() error { _, err := rosesession.NewKeys([]byte("short")); return err },
 		"of no key at all": func() error { _, err := rosesession.NewKeys(); return err },
 	} {
--- a/pkg/rosestatement/scan.go
+++ b/pkg/rosestatement/scan.go
@@ -30,7 +30,7 @@
 	// Class names the statement's class.
 	Class string
 	// Request identifies the request across retries.
-	Request string
+	RequestID string
 }
 
 // Word returns keyword i, or an empty string.
@@ -164,7 +164,7 @@
 		case "class", "rosemary_class":
 			s.script.Tags.Class = value
 		case "request_id", "rosemary_request":
-			s.script.Tags.Request = value
+			s.script.Tags.RequestID = value
 		}
 	}
 }
--- a/pkg/rosestatement/scan_test.go
+++ b/pkg/rosestatement/scan_test.go
@@ -29,7 +29,7 @@
 		{
 			"UPDATE t SET a = 1 /*class='sign%2Dup',request_id='r''1',other='x'*/",
 			[]rosestatement.Kind{rosestatement.KindPlain},
-			rosestatement.Tags{Class: "sign-up", Request: "r''1"},
+			rosestatement.Tags{Class: "sign-up", RequestID: "r''1"},
 		},
 		{"(SELECT 1) UNION (SELECT 2)", []rosestatement.Kind{rosestatement.KindPlain}, rosestatement.Tags{}},
 	} {
