--- a/internal/rosecommand/bundle.go
+++ b/internal/rosecommand/bundle.go
@@ -70,7 +70,7 @@
 		texts = append(texts, string(text))
 	}
 	content, err := rosebundle.ParseContent(strings.Join(texts, "\n"))
-	var faults *rosebundle.FaultsError
+	var faults *rosebundle.ValidationError
 	if errors.As(err, &faults) {
 		return nil, usageError{fmt.Errorf("%s:\n%w", strings.Join(paths, ", "), faults)}
 	}
--- a/internal/rosecommand/bundle_new.go
+++ b/internal/rosecommand/bundle_new.go
@@ -39,7 +39,7 @@
 			return err
 		}
 		if faults := rosebundle.CheckChange(now, content); len(faults) > 0 {
-			return usageError{&rosebundle.FaultsError{Faults: faults}}
+			return usageError{&rosebundle.ValidationError{Faults: faults}}
 		}
 	}
 	manifest, parts := rosebundle.Build(content, parent)
--- a/internal/rosecommand/daemon.go
+++ b/internal/rosecommand/daemon.go
@@ -126,7 +126,7 @@
 		Seeds:          settings.SeedMembers(),
 		Operators:      rosebundle.OperatorList{Operators: settings.Operators, Signatures: settings.Signatures},
 		Store:          store,
-		Roster:         rosestore.NewRoster(store),
+		Roster:         rosestore.NewMemberSource(store),
 	}), nil
 }
 
--- a/internal/rosedaemon/admin.go
+++ b/internal/rosedaemon/admin.go
@@ -111,7 +111,7 @@
 			gauge("rosemary_target_age_seconds"+labels, float64(t.AgeMs)/1000)
 		}
 	}
-	sent := d.mesh.Sent()
+	sent := d.mesh.SentTraffic()
 	gauge("rosemary_peer_messages_sent", float64(sent.Messages))
 	gauge("rosemary_peer_bytes_sent", float64(sent.Bytes))
 	return set
@@ -150,7 +150,7 @@
 		Callers:  d.front.Callers(),
 		Bundle:   BundleState{Version: manifest.Version, Digest: manifest.Digest(), Since: since},
 	}
-	if refused := d.rollout.Refused(); refused != nil {
+	if refused := d.rollout.LastError(); refused != nil {
 		state.Bundle.Refused = trace.UserMessage(refused)
 	}
 	d.mu.RLock()
@@ -161,7 +161,7 @@
 		}
 	}
 	for _, p := range d.mesh.View() {
-		state.Peers = append(state.Peers, PeerState{p.Proxy, p.Zone, p.State, p.Proven, p.Version})
+		state.Peers = append(state.Peers, PeerState{p.Proxy, p.Zone, p.State, p.Confirmed, p.BundleVersion})
 	}
 	return state
 }
--- a/internal/rosedaemon/bundle.go
+++ b/internal/rosedaemon/bundle.go
@@ -32,10 +32,10 @@
 // newRollout returns the rollout that brings bundles into force here.
 func (d *Daemon) newRollout() *rosebundle.Rollout {
 	return rosebundle.NewRollout(rosebundle.RolloutConfig{
-		Anchors: d.config.Operators,
+		TrustAnchors: d.config.Operators,
 		Apply: func(content *rosebundle.Content, m rosebundle.Manifest) {
 			d.Apply(content)
-			d.mesh.SetVersion(m.Version)
+			d.mesh.SetBundleVersion(m.Version)
 			klog.InfoS("bundle in force", "proxy", d.config.Name, "version", m.Version, "digest", m.Digest())
 		},
 	})
@@ -52,7 +52,7 @@
 		case d.watcherRank() < zoneWatchers:
 			d.watchStore(ctx)
 			roseclock.Sleep(ctx, watchPause)
-		case len(d.mesh.Linked()) == 0:
+		case len(d.mesh.LinkedPeers()) == 0:
 			d.readStore(ctx)
 			roseclock.Sleep(ctx, lonelyInterval)
 		default:
@@ -64,12 +64,12 @@
 // watcherRank is this proxy's place among the watchers of its zone.
 func (d *Daemon) watcherRank() int {
 	var zone []rosemary.Member
-	for _, m := range d.mesh.Live() {
+	for _, m := range d.mesh.LiveMembers() {
 		if m.Zone == d.config.Zone {
 			zone = append(zone, m)
 		}
 	}
-	return rosepeer.Rank("watch/"+string(d.config.Zone), zone, d.config.Name)
+	return rosepeer.RendezvousRank("watch/"+string(d.config.Zone), zone, d.config.Name)
 }
 
 // watchStore takes bundles as they change, until the watch breaks or others
@@ -112,8 +112,8 @@
 	d.take(ctx, text, d.fromStore())
 }
 
-func (d *Daemon) fromStore() rosebundle.Fetch {
-	return rosebundle.FromStore(d.config.Store)
+func (d *Daemon) fromStore() rosebundle.FetchFunc {
+	return rosebundle.FetchFromStore(d.config.Store)
 }
 
 // followPeers pulls a bundle from the peer that told of it.
@@ -131,12 +131,12 @@
 func (d *Daemon) pull(ctx context.Context, from rosemary.ProxyID) {
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
-	text, err := d.mesh.Pull(ctx, from, "")
+	text, err := d.mesh.FetchPart(ctx, from, "")
 	if err != nil {
 		return
 	}
 	d.take(ctx, text, func(ctx context.Context, digest string) (string, error) {
-		part, err := d.mesh.Pull(ctx, from, digest)
+		part, err := d.mesh.FetchPart(ctx, from, digest)
 		if err != nil && d.config.Store != nil {
 			return d.fromStore()(ctx, digest)
 		}
@@ -144,10 +144,10 @@
 	})
 }
 
-func (d *Daemon) take(ctx context.Context, text string, fetch rosebundle.Fetch) {
+func (d *Daemon) take(ctx context.Context, text string, fetch rosebundle.FetchFunc) {
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
-	if err := d.rollout.Take(ctx, text, fetch); err != nil {
+	if err := d.rollout.Update(ctx, text, fetch); err != nil {
 		klog.InfoS("bundle refused", "proxy", d.config.Name, "err", err)
 	}
 }
@@ -155,7 +155,7 @@
 // heardVersion notes that a peer has a newer bundle.
 func (d *Daemon) heardVersion(event rosepeer.Event) {
 	current, _ := d.rollout.Current()
-	if event.Version <= current.Version {
+	if event.BundleVersion <= current.Version {
 		return
 	}
 	select {
--- a/internal/rosedaemon/daemon.go
+++ b/internal/rosedaemon/daemon.go
@@ -106,7 +106,7 @@
 		TLS:                  config.TLS,
 		RequireTLS:           config.RequireTLS,
 		MaxCallers:           config.MaxCallers,
-		ForwardCancel:        d.mesh.Cancel,
+		ForwardCancel:        d.mesh.ForwardCancel,
 		AcknowledgeOnPrimary: config.Baseline.AcknowledgeOnPrimary,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -221,7 +221,7 @@
 }
 
 // Peers returns the number of peers that this proxy has a link to.
-func (d *Daemon) Peers() int { return len(d.mesh.Linked()) }
+func (d *Daemon) Peers() int { return len(d.mesh.LinkedPeers()) }
 
 // Unready makes the balancer send callers elsewhere.
 func (d *Daemon) Unready() {
--- a/internal/rosedaemon/lend.go
+++ b/internal/rosedaemon/lend.go
@@ -98,12 +98,12 @@
 
 // ask sends an ask to the target's lender: the first of the live proxies.
 func (d *Daemon) ask(ask rosewire.Ask) {
-	lender := rosepeer.Ranked("lend/"+ask.Target, d.mesh.Live())[0].Proxy
+	lender := rosepeer.RendezvousOrder("lend/"+ask.Target, d.mesh.LiveMembers())[0].Proxy
 	if lender == d.config.Name {
 		d.borrowed(d.lend(d.config.Name, ask))
 		return
 	}
-	d.mesh.Ask(lender, ask)
+	d.mesh.RequestConnections(lender, ask)
 }
 
 // lend answers an ask for a target.
--- a/internal/rosedaemon/peers.go
+++ b/internal/rosedaemon/peers.go
@@ -32,17 +32,17 @@
 func (d *Daemon) newMesh() {
 	self := rosemary.Member{Proxy: d.config.Name, Zone: d.config.Zone, Address: d.config.PeerAddress}
 	d.mesh = rosepeer.NewMesh(rosepeer.Config{
-		Node:      rosepeer.NodeConfig{Self: self, Incarnation: uint64(time.Now().UnixMilli())},
-		Dialer:    d.config.Dialer,
-		TLS:       d.config.PeerTLS,
-		OnEvent:   d.peerEvent,
-		OnCancel:  func(pid, secret uint32) { d.front.Cancel(pid, secret) },
-		Provide:   func(digest string) (string, bool) { return d.rollout.Provide(digest) },
-		OnAsk:     d.lend,
-		OnGrant:   d.borrowed,
-		MayTunnel: d.isTarget,
+		Node:                rosepeer.NodeConfig{Self: self, Incarnation: uint64(time.Now().UnixMilli())},
+		Dialer:              d.config.Dialer,
+		TLS:                 d.config.PeerTLS,
+		OnEvent:             d.peerEvent,
+		OnCancel:            func(pid, secret uint32) { d.front.Cancel(pid, secret) },
+		BundlePart:          func(digest string) (string, bool) { return d.rollout.Part(digest) },
+		OnConnectionRequest: d.lend,
+		OnConnectionGrant:   d.borrowed,
+		AllowTunnel:         d.isTarget,
 	})
-	d.mesh.Learn(d.config.Seeds)
+	d.mesh.AddMembers(d.config.Seeds)
 	d.dialer = rosepeer.NewTunnelDialer(d.config.Dialer, func() *rosepeer.Mesh { return d.mesh })
 }
 
@@ -68,7 +68,7 @@
 	for ctx.Err() == nil {
 		members, err := d.config.Roster.Members(ctx)
 		if err == nil {
-			d.mesh.Learn(members)
+			d.mesh.AddMembers(members)
 		} else if ctx.Err() == nil {
 			klog.InfoS("VM list not read", "proxy", d.config.Name, "err", err)
 		}
@@ -80,7 +80,7 @@
 // of the others by news, so calls grow with zones and not with proxies.
 func (d *Daemon) rosterWait() time.Duration {
 	switch {
-	case len(d.mesh.Linked()) == 0:
+	case len(d.mesh.LinkedPeers()) == 0:
 		return lonelyRosterInterval
 	case d.watcherRank() < zoneWatchers:
 		return rosterInterval
@@ -91,9 +91,9 @@
 // peerEvent acts on what a peer told.
 func (d *Daemon) peerEvent(event rosepeer.Event) {
 	switch {
-	case event.Lead != nil:
-		d.takeLead(*event.Lead)
-	case event.Version > 0:
+	case event.Primary != nil:
+		d.takeLead(*event.Primary)
+	case event.BundleVersion > 0:
 		d.heardVersion(event)
 	case event.Member.Proxy != "":
 		klog.InfoS("peer changed", "proxy", d.config.Name, "peer", event.Member.Proxy, "zone", event.Member.Zone, "state", event.State)
@@ -121,7 +121,7 @@
 
 // announce tells the peers of a new primary.
 func (d *Daemon) announce(database string, status rosemary.Status) {
-	d.mesh.Announce(rosewire.Lead{
+	d.mesh.AnnouncePrimary(rosewire.Lead{
 		Database: database,
 		Target:   string(status.Target),
 		Term:     status.Term,
@@ -154,7 +154,7 @@
 		},
 		Store: d.config.Store,
 		Rank: func() int {
-			return rosepeer.Rank("supervise/"+database, d.mesh.Live(), d.config.Name)
+			return rosepeer.RendezvousRank("supervise/"+database, d.mesh.LiveMembers(), d.config.Name)
 		},
 		Announce: func(status rosemary.Status) { d.announce(database, status) },
 		Leaving:  d.leaving,
--- a/internal/roseload/fault_store.go
+++ b/internal/roseload/fault_store.go
@@ -50,7 +50,7 @@
 	for _, p := range f.run.stack.Running() {
 		members = append(members, rosemary.Member{Proxy: rosemary.ProxyID(p.Name)})
 	}
-	first := string(rosepeer.Ranked("supervise/"+f.database(), members)[0].Proxy)
+	first := string(rosepeer.RendezvousOrder("supervise/"+f.database(), members)[0].Proxy)
 	f.run.stack.Network.SetBlocked(func(from, to rosenet.Place) bool {
 		return from.Name == first || to.Name == first
 	})
--- a/internal/rosenode/facts.go
+++ b/internal/rosenode/facts.go
@@ -35,7 +35,7 @@
 	if c == nil {
 		return nil
 	}
-	live := n.mesh.Live()
+	live := n.mesh.LiveMembers()
 	seen := map[rosemary.ProxyID]bool{n.config.Self.Proxy: true}
 	var sources []rosemary.ProxyID
 	for _, name := range n.homeGroups() {
@@ -44,7 +44,7 @@
 		if len(serving) == 0 {
 			continue
 		}
-		first := rosepeer.Ranked("sample/"+name, serving)[0].Proxy
+		first := rosepeer.RendezvousOrder("sample/"+name, serving)[0].Proxy
 		if !seen[first] {
 			seen[first] = true
 			sources = append(sources, first)
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithTimeout(ctx, factsTimeout)
 	defer cancel()
 	askedAt := n.config.Clock.Now()
-	reply, answered := n.mesh.Query(ctx, source, rosewire.Question{About: rosepeer.AboutFacts})
+	reply, answered := n.mesh.Query(ctx, source, rosewire.Question{About: rosepeer.AboutTargetStatuses})
 	if !answered {
 		return
 	}
--- a/internal/rosenode/follow.go
+++ b/internal/rosenode/follow.go
@@ -111,7 +111,7 @@
 	}
 	n.configuration.Store(c)
 	n.metrics.configured(c.Version)
-	n.mesh.SetVersion(uint64(c.Version))
+	n.mesh.SetBundleVersion(uint64(c.Version))
 	klog.InfoS("configuration in force", "version", c.Version, "routes", len(c.Routes), "groups", len(c.Groups))
 	n.spread(false)
 }
--- a/internal/rosenode/peers.go
+++ b/internal/rosenode/peers.go
@@ -52,20 +52,20 @@
 func (n *Node) newMesh() *rosepeer.Mesh {
 	return rosepeer.NewMesh(rosepeer.Config{
 		Node: rosepeer.NodeConfig{
-			Self:        n.config.Self,
-			Incarnation: uint64(time.Now().UnixMilli()),
-			Heartbeat:   peerBeat,
-			MeshSize:    peerMesh,
+			Self:              n.config.Self,
+			Incarnation:       uint64(time.Now().UnixMilli()),
+			HeartbeatInterval: peerBeat,
+			FullMeshSize:      peerMesh,
 		},
-		Dialer:     n.config.Dialer,
-		Tick:       peerTick,
-		OnEvent:    n.peerEvent,
-		OnCancel:   func(_, _ uint32) {},
-		Provide:    n.provide,
-		OnAsk:      func(rosemary.ProxyID, rosewire.Ask) rosewire.Grant { return rosewire.Grant{} },
-		OnGrant:    func(rosewire.Grant) {},
-		OnQuestion: n.answer,
-		MayTunnel:  func(string) bool { return false },
+		Dialer:              n.config.Dialer,
+		TickInterval:        peerTick,
+		OnEvent:             n.peerEvent,
+		OnCancel:            func(_, _ uint32) {},
+		BundlePart:          n.provide,
+		OnConnectionRequest: func(rosemary.ProxyID, rosewire.Ask) rosewire.Grant { return rosewire.Grant{} },
+		OnConnectionGrant:   func(rosewire.Grant) {},
+		OnQuestion:          n.answer,
+		AllowTunnel:         func(string) bool { return false },
 	})
 }
 
@@ -128,7 +128,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, cutSurveyTimeout)
 	defer cancel()
-	replies, _ := n.mesh.Survey(ctx, rosewire.Question{About: rosepeer.AboutReach})
+	replies, _ := n.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutReachability})
 	for _, r := range replies {
 		if zones[r.From] != n.config.Self.Zone {
 			return true
@@ -143,13 +143,13 @@
 	known := 0
 	for roseclock.Sleep(ctx, n.learnPause()) {
 		members := n.duty.Members()
-		n.mesh.Learn(members)
+		n.mesh.AddMembers(members)
 		if len(members) != known {
 			// Others' shares of the links depend on how many there are.
 			known = len(members)
 			n.spread(false)
 		}
-		isolated := len(members) > 1 && !n.duty.Registered() && len(n.mesh.Linked()) == 0
+		isolated := len(members) > 1 && !n.duty.Registered() && len(n.mesh.LinkedPeers()) == 0
 		if n.isolated.Swap(isolated) != isolated {
 			klog.InfoS("isolation changed", "isolated", isolated, "members", len(members))
 		}
@@ -182,8 +182,8 @@
 // peerEvent acts on what a peer told.
 func (n *Node) peerEvent(event rosepeer.Event) {
 	switch {
-	case event.Version > 0:
-		n.pull(event.From, int64(event.Version))
+	case event.BundleVersion > 0:
+		n.pull(event.From, int64(event.BundleVersion))
 	case event.Member.Proxy != "":
 		klog.InfoS("peer changed", "peer", event.Member.Proxy, "zone", event.Member.Zone, "state", event.State.String())
 	}
@@ -202,7 +202,7 @@
 		if present := n.configuration.Load(); present != nil && present.Version >= version {
 			return
 		}
-		text, err := n.mesh.Pull(ctx, from, "")
+		text, err := n.mesh.FetchPart(ctx, from, "")
 		if err != nil {
 			klog.InfoS("configuration not pulled", "from", from, "version", version, "err", roselog.Err(err))
 			return
@@ -221,7 +221,7 @@
 	case rosepeer.AboutAbstain:
 		yes := n.duty.Abstain()
 		return rosewire.Reply{Yes: yes, Known: true}
-	case rosepeer.AboutFacts:
+	case rosepeer.AboutTargetStatuses:
 		return rosewire.Reply{Yes: true, Known: true, Facts: n.facts()}
 	}
 	n.mu.Lock()
@@ -229,22 +229,22 @@
 	n.mu.Unlock()
 	if g == nil {
 		// What isn't known here isn't relied on.
-		return rosewire.Reply{Yes: question.About == rosepeer.AboutStop}
+		return rosewire.Reply{Yes: question.About == rosepeer.AboutPrimaryRevoked}
 	}
 	target := rosemary.TargetID(question.Target)
 	switch question.About {
-	case rosepeer.AboutReach:
+	case rosepeer.AboutReachability:
 		ctx, cancel := context.WithTimeout(n.runContext(), reachTimeout)
 		defer cancel()
 		yes, known := g.CheckReachable(ctx, target)
 		return rosewire.Reply{Yes: yes, Known: known}
-	case rosepeer.AboutStop:
+	case rosepeer.AboutPrimaryRevoked:
 		g.RevokePrimary(question.Term)
 		return rosewire.Reply{Yes: true, Known: true}
-	case rosepeer.AboutSuspicion:
+	case rosepeer.AboutPrimarySuspected:
 		g.SampleNow(target)
 		return rosewire.Reply{Yes: true, Known: true}
-	case rosepeer.AboutComplaint:
+	case rosepeer.AboutPrimaryUnreachable:
 		g.replacer.RecordUnreachable(from, target)
 		return rosewire.Reply{Yes: true, Known: true}
 	}
@@ -253,14 +253,14 @@
 
 // Abstain asks all not to claim duties, and returns those that promised.
 func (p peers) Abstain(ctx context.Context) []rosemary.ProxyID {
-	replies, _ := p.mesh.Survey(ctx, rosewire.Question{About: rosepeer.AboutAbstain})
+	replies, _ := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutAbstain})
 	return agreeing(replies)
 }
 
 // Reach counts the proxies that replied, those that reach a target, and those
 // that don't.
 func (p peers) PollReachability(ctx context.Context, group string, target rosemary.TargetID) (replied, reach, miss int) {
-	replies, _ := p.mesh.Survey(ctx, rosewire.Question{About: rosepeer.AboutReach, Group: group, Target: string(target)})
+	replies, _ := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutReachability, Group: group, Target: string(target)})
 	for _, r := range replies {
 		switch {
 		case r.Yes:
@@ -274,27 +274,27 @@
 
 // Stop has all give up relying on the primary of term.
 func (p peers) StopUsingPrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID) {
-	replies, asked := p.mesh.Survey(ctx, rosewire.Question{About: rosepeer.AboutStop, Group: group, Term: term})
+	replies, asked := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutPrimaryRevoked, Group: group, Term: term})
 	return agreeing(replies), asked
 }
 
 // Suspect tells all that the target has just not answered this proxy.
 func (p peers) Suspect(ctx context.Context, group string, target rosemary.TargetID) {
-	p.tell(ctx, rosepeer.AboutSuspicion, group, target)
+	p.tell(ctx, rosepeer.AboutPrimarySuspected, group, target)
 }
 
 // Complain tells all that this proxy can't reach the target.
 func (p peers) ReportUnreachable(ctx context.Context, group string, target rosemary.TargetID) {
-	p.tell(ctx, rosepeer.AboutComplaint, group, target)
+	p.tell(ctx, rosepeer.AboutPrimaryUnreachable, group, target)
 }
 
 func (p peers) tell(ctx context.Context, about, group string, target rosemary.TargetID) {
 	ctx, cancel := context.WithTimeout(ctx, complainTimeout)
 	defer cancel()
-	p.mesh.Survey(ctx, rosewire.Question{About: about, Group: group, Target: string(target)})
+	p.mesh.QueryAll(ctx, rosewire.Question{About: about, Group: group, Target: string(target)})
 }
 
-func agreeing(replies []rosepeer.SurveyReply) []rosemary.ProxyID {
+func agreeing(replies []rosepeer.PeerReply) []rosemary.ProxyID {
 	var ids []rosemary.ProxyID
 	for _, r := range replies {
 		if r.Yes {
--- a/internal/rosenode/placement.go
+++ b/internal/rosenode/placement.go
@@ -148,7 +148,7 @@
 		return nil
 	}
 	live := make(map[rosemary.ProxyID]bool)
-	for _, m := range n.mesh.Live() {
+	for _, m := range n.mesh.LiveMembers() {
 		live[m.Proxy] = true
 	}
 	var near, far []rosemary.Member
--- a/internal/rosesettings/settings.go
+++ b/internal/rosesettings/settings.go
@@ -127,7 +127,7 @@
 	s := Default()
 	meta, err := toml.Decode(text, &s)
 	if err != nil {
-		return s, &rosebundle.FaultsError{Faults: []rosebundle.Fault{
+		return s, &rosebundle.ValidationError{Faults: []rosebundle.Fault{
 			{Key: "(file)", Problem: err.Error(), Remedy: "correct the TOML"},
 		}}
 	}
@@ -139,7 +139,7 @@
 	}
 	faults = append(faults, s.Check()...)
 	if len(faults) > 0 {
-		return s, &rosebundle.FaultsError{Faults: faults}
+		return s, &rosebundle.ValidationError{Faults: faults}
 	}
 	return s, nil
 }
--- a/internal/rosesettings/vm.go
+++ b/internal/rosesettings/vm.go
@@ -77,12 +77,12 @@
 func ParseVM(text string) (VM, error) {
 	v := VM{Limits: VMLimits{GraceTime: defaultGrace}}
 	if _, err := toml.Decode(text, &v); err != nil {
-		return v, &rosebundle.FaultsError{Faults: []rosebundle.Fault{
+		return v, &rosebundle.ValidationError{Faults: []rosebundle.Fault{
 			{Key: "(file)", Problem: err.Error(), Remedy: "correct the TOML"},
 		}}
 	}
 	if faults := v.Check(); len(faults) > 0 {
-		return v, &rosebundle.FaultsError{Faults: faults}
+		return v, &rosebundle.ValidationError{Faults: faults}
 	}
 	return v, nil
 }
--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -248,7 +248,7 @@
 		PeerAddress: p.peers.Addr().String(),
 		Store:       p.store,
 		Operators:   s.operators(),
-		Roster:      rosestore.NewRoster(p.store),
+		Roster:      rosestore.NewMemberSource(p.store),
 		Baseline:    s.Config.Baseline,
 	})
 	p.Address = listener.Addr().String()
--- a/pkg/rosebundle/bench_test.go
+++ b/pkg/rosebundle/bench_test.go
@@ -41,15 +41,15 @@
 	m, parts := rosebundle.Build(content, rosebundle.Manifest{})
 	m = m.WithSignature("ana", key)
 	rollout := rosebundle.NewRollout(rosebundle.RolloutConfig{
-		Anchors: rosebundle.OperatorList{Operators: content.Operators, Signatures: 1},
-		Apply:   func(*rosebundle.Content, rosebundle.Manifest) {},
+		TrustAnchors: rosebundle.OperatorList{Operators: content.Operators, Signatures: 1},
+		Apply:        func(*rosebundle.Content, rosebundle.Manifest) {},
 	})
 	fetched := 0
 	fetch := func(_ context.Context, digest string) (string, error) {
 		fetched += len(parts[digest])
 		return parts[digest], nil
 	}
-	c.Assert(rollout.Take(context.Background(), m.Encode(), fetch), qt.IsNil)
+	c.Assert(rollout.Update(context.Background(), m.Encode(), fetch), qt.IsNil)
 	whole := fetched
 	fetched = 0
 	for b.Loop() {
@@ -57,7 +57,7 @@
 		m, parts = rosebundle.Build(content, m)
 		m = m.WithSignature("ana", key)
 		fetched += len(m.Encode())
-		c.Assert(rollout.Take(context.Background(), m.Encode(), fetch), qt.IsNil)
+		c.Assert(rollout.Update(context.Background(), m.Encode(), fetch), qt.IsNil)
 	}
 	b.ReportMetric(float64(fetched)/float64(b.N), "bytes/change")
 	b.ReportMetric(float64(whole), "bytes/first")
--- a/pkg/rosebundle/check.go
+++ b/pkg/rosebundle/check.go
@@ -24,13 +24,13 @@
 	return f.Key + ": " + f.Problem + "; " + f.Remedy
 }
 
-// FaultsError is a source that was refused, with every fault found.
-type FaultsError struct {
+// ValidationError is a source that was refused, with every fault found.
+type ValidationError struct {
 	Faults []Fault
 }
 
 // Error lists the faults, one a line.
-func (e *FaultsError) Error() string {
+func (e *ValidationError) Error() string {
 	lines := make([]string, len(e.Faults))
 	for i, f := range e.Faults {
 		lines[i] = f.String()
@@ -52,7 +52,7 @@
 	content := &Content{}
 	meta, err := toml.Decode(text, content)
 	if err != nil {
-		return nil, &FaultsError{Faults: []Fault{{Key: "(file)", Problem: err.Error(), Remedy: "correct the TOML"}}}
+		return nil, &ValidationError{Faults: []Fault{{Key: "(file)", Problem: err.Error(), Remedy: "correct the TOML"}}}
 	}
 	var faults []Fault
 	for _, key := range meta.Undecoded() {
@@ -60,7 +60,7 @@
 	}
 	faults = append(faults, content.Check()...)
 	if len(faults) > 0 {
-		return nil, &FaultsError{Faults: faults}
+		return nil, &ValidationError{Faults: faults}
 	}
 	return content, nil
 }
--- a/pkg/rosebundle/manifest.go
+++ b/pkg/rosebundle/manifest.go
@@ -114,9 +114,9 @@
 	return names
 }
 
-// SignedBy returns a trace.AccessDenied unless enough of the operators in
+// VerifySignatures returns a trace.AccessDenied unless enough of the operators in
 // force signed.
-func (m Manifest) SignedBy(operators OperatorList) error {
+func (m Manifest) VerifySignatures(operators OperatorList) error {
 	signers := m.signers(operators.Operators)
 	if len(signers) < max(operators.Signatures, 1) {
 		return trace.AccessDenied("bundle %d has the valid signatures of %v, and needs %d: have more operators run rosemary bundle sign",
@@ -176,9 +176,9 @@
 	return int(hash.Sum32() % uint32(pages))
 }
 
-// Missing returns the digests of the parts that aren't there yet: first pages,
+// MissingParts returns the digests of the parts that aren't there yet: first pages,
 // then, once these are there, sections.
-func (m Manifest) Missing(parts Parts) ([]string, error) {
+func (m Manifest) MissingParts(parts Parts) ([]string, error) {
 	var missing []string
 	for _, digest := range append([]string{m.Operators}, m.Pages...) {
 		if _, ok := parts[digest]; !ok {
@@ -236,7 +236,7 @@
 	}
 	slices.SortFunc(content.Databases, func(a, b Database) int { return strings.Compare(a.Name, b.Name) })
 	if faults := content.Check(); len(faults) > 0 {
-		return nil, &FaultsError{Faults: faults}
+		return nil, &ValidationError{Faults: faults}
 	}
 	return content, nil
 }
--- a/pkg/rosebundle/rollout.go
+++ b/pkg/rosebundle/rollout.go
@@ -22,14 +22,14 @@
 // changed while a proxy was away.
 const maxAncestors = 256
 
-// Fetch returns a part by its digest.
-type Fetch func(ctx context.Context, digest string) (string, error)
+// FetchFunc returns a part by its digest.
+type FetchFunc func(ctx context.Context, digest string) (string, error)
 
 // RolloutConfig sets up a Rollout.
 type RolloutConfig struct {
 	// Anchors are operators' keys from settings, for a proxy that has no
 	// bundle in force yet.
-	Anchors OperatorList
+	TrustAnchors OperatorList
 	// Apply brings a content into force.
 	Apply func(*Content, Manifest)
 }
@@ -62,16 +62,16 @@
 	return r.current, r.since
 }
 
-// Refused returns why the last bundle seen was refused, or nil.
-func (r *Rollout) Refused() error {
+// LastError returns why the last bundle seen was refused, or nil.
+func (r *Rollout) LastError() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.last
 }
 
-// Provide returns a part for a peer: the manifest in force for an empty
+// Part returns a part for a peer: the manifest in force for an empty
 // digest.
-func (r *Rollout) Provide(digest string) (string, bool) {
+func (r *Rollout) Part(digest string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if digest == "" || r.current.Version > 0 && digest == r.current.Digest() {
@@ -81,11 +81,11 @@
 	return text, ok
 }
 
-// Take brings the manifest of that text into force, if it is newer and holds.
+// Update brings the manifest of that text into force, if it is newer and holds.
 // Parts that are missing come from fetch. Errors are trace.AccessDenied for a
 // bundle that isn't signed as demanded, trace.BadParameter and *FaultsError
 // for one that is damaged, and those of fetch.
-func (r *Rollout) Take(ctx context.Context, text string, fetch Fetch) error {
+func (r *Rollout) Update(ctx context.Context, text string, fetch FetchFunc) error {
 	select {
 	case r.taking <- struct{}{}:
 	case <-ctx.Done():
@@ -99,7 +99,7 @@
 	return err
 }
 
-func (r *Rollout) take(ctx context.Context, text string, fetch Fetch) error {
+func (r *Rollout) take(ctx context.Context, text string, fetch FetchFunc) error {
 	m, err := DecodeManifest(text)
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 
 // trusted checks the signatures of m against the operators in force. If these
 // changed on the way, every version back to one that is in force is checked.
-func (r *Rollout) trusted(ctx context.Context, m, current Manifest, parts Parts, fetch Fetch) error {
+func (r *Rollout) trusted(ctx context.Context, m, current Manifest, parts Parts, fetch FetchFunc) error {
 	if current.Version == 0 {
 		return r.anchored(ctx, m, parts, fetch)
 	}
@@ -140,7 +140,7 @@
 		if err != nil {
 			return err
 		}
-		return m.SignedBy(list)
+		return m.VerifySignatures(list)
 	}
 	chain, err := ancestors(ctx, m, current, fetch)
 	if err != nil {
@@ -152,7 +152,7 @@
 		if err != nil {
 			return err
 		}
-		if err := next.SignedBy(list); err != nil {
+		if err := next.VerifySignatures(list); err != nil {
 			return err
 		}
 		inForce = next
@@ -162,22 +162,22 @@
 
 // anchored checks a first bundle: it must be signed as it demands itself, and
 // by as many operators that the settings name as these demand.
-func (r *Rollout) anchored(ctx context.Context, m Manifest, parts Parts, fetch Fetch) error {
+func (r *Rollout) anchored(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) error {
 	list, err := operatorsOf(ctx, m, parts, fetch)
 	if err != nil {
 		return err
 	}
-	if err := m.SignedBy(list); err != nil {
+	if err := m.VerifySignatures(list); err != nil {
 		return err
 	}
-	if err := m.SignedBy(r.config.Anchors); err != nil {
+	if err := m.VerifySignatures(r.config.TrustAnchors); err != nil {
 		return trace.AccessDenied("bundle %d is not signed by the operators that this proxy's settings name: %v", m.Version, err)
 	}
 	return nil
 }
 
 // ancestors returns the versions after current up to m, oldest first.
-func ancestors(ctx context.Context, m, current Manifest, fetch Fetch) ([]Manifest, error) {
+func ancestors(ctx context.Context, m, current Manifest, fetch FetchFunc) ([]Manifest, error) {
 	chain := []Manifest{m}
 	for range maxAncestors {
 		oldest := chain[0]
@@ -200,7 +200,7 @@
 	return nil, trace.LimitExceeded("bundle %d is more than %d versions ahead: restart the proxy", m.Version, maxAncestors)
 }
 
-func operatorsOf(ctx context.Context, m Manifest, parts Parts, fetch Fetch) (OperatorList, error) {
+func operatorsOf(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) (OperatorList, error) {
 	if err := fetchPart(ctx, m.Operators, parts, fetch); err != nil {
 		return OperatorList{}, err
 	}
@@ -208,9 +208,9 @@
 }
 
 // gather fetches the parts that m names and that aren't there.
-func gather(ctx context.Context, m Manifest, parts Parts, fetch Fetch) error {
+func gather(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) error {
 	for {
-		missing, err := m.Missing(parts)
+		missing, err := m.MissingParts(parts)
 		if err != nil || len(missing) == 0 {
 			return err
 		}
@@ -222,7 +222,7 @@
 	}
 }
 
-func fetchPart(ctx context.Context, digest string, parts Parts, fetch Fetch) error {
+func fetchPart(ctx context.Context, digest string, parts Parts, fetch FetchFunc) error {
 	if _, ok := parts[digest]; ok {
 		return nil
 	}
@@ -237,8 +237,8 @@
 	return nil
 }
 
-// FromStore returns a Fetch that reads the platform's store.
-func FromStore(store rosemary.Store) Fetch {
+// FetchFromStore returns a Fetch that reads the platform's store.
+func FetchFromStore(store rosemary.Store) FetchFunc {
 	return func(ctx context.Context, digest string) (string, error) {
 		entry, err := store.Get(ctx, partPrefix+digest)
 		return string(entry.Value), err
@@ -283,14 +283,14 @@
 	return p, nil
 }
 
-// RacedError tells an operator that another bundle was accepted first.
-type RacedError struct {
-	Winner Manifest
+// ConflictError tells an operator that another bundle was accepted first.
+type ConflictError struct {
+	Accepted Manifest
 }
 
 // Error names the winner and the remedy.
-func (e *RacedError) Error() string {
-	return "bundle " + e.Winner.String() + " was accepted first; make the change anew on top of it: rosemary bundle new, sign, propose"
+func (e *ConflictError) Error() string {
+	return "bundle " + e.Accepted.String() + " was accepted first; make the change anew on top of it: rosemary bundle new, sign, propose"
 }
 
 // Propose makes the proposal the bundle in force by compare-and-swap from its
@@ -336,7 +336,7 @@
 	if err != nil {
 		return m, parts, err
 	}
-	return m, parts, gather(ctx, m, parts, FromStore(store))
+	return m, parts, gather(ctx, m, parts, FetchFromStore(store))
 }
 
 // mayFollow checks that a proposal is the next version after current.
@@ -344,7 +344,7 @@
 	list := OperatorList{content.Operators, content.Signatures}
 	if current.Version > 0 {
 		if p.Manifest.Parent != current.Digest() || p.Manifest.Version != current.Version+1 {
-			return &RacedError{Winner: current}
+			return &ConflictError{Accepted: current}
 		}
 		var err error
 		if list, err = current.OperatorList(parts); err != nil {
@@ -355,12 +355,12 @@
 			return err
 		}
 		if faults := CheckChange(now, content); len(faults) > 0 {
-			return &FaultsError{Faults: faults}
+			return &ValidationError{Faults: faults}
 		}
 	} else if p.Manifest.Version != 1 || p.Manifest.Parent != "" {
 		return trace.BadParameter("there is no bundle yet: the first one is version 1; make it with rosemary bundle new -first")
 	}
-	return p.Manifest.SignedBy(list)
+	return p.Manifest.VerifySignatures(list)
 }
 
 // upload writes the parts that the store lacks, and the manifest by digest.
@@ -392,7 +392,7 @@
 	case winner.Digest() == p.Manifest.Digest(), winner.Parent == p.Manifest.Digest():
 		return nil
 	case winner.Version >= p.Manifest.Version:
-		return &RacedError{Winner: winner}
+		return &ConflictError{Accepted: winner}
 	}
 	return trace.ConnectionProblem(cause, "the bundle was not accepted; propose it again")
 }
@@ -400,7 +400,7 @@
 // ReadContent returns what the manifest names, from the store.
 func ReadContent(ctx context.Context, store rosemary.Store, m Manifest) (*Content, error) {
 	parts := make(Parts)
-	if err := gather(ctx, m, parts, FromStore(store)); err != nil {
+	if err := gather(ctx, m, parts, FetchFromStore(store)); err != nil {
 		return nil, err
 	}
 	return m.Content(parts)
--- a/pkg/rosebundle/rollout_test.go
+++ b/pkg/rosebundle/rollout_test.go
@@ -89,10 +89,10 @@
 	store.lose = 1
 	winner := proposal(content(2, "ana", "luis"), first.Manifest, "ana", "luis")
 	c.Assert(rosebundle.Propose(ctx, store, winner), qt.IsNil, qt.Commentf("with its answer lost"))
-	var raced *rosebundle.RacedError
+	var raced *rosebundle.ConflictError
 	err := rosebundle.Propose(ctx, store, proposal(content(3, "ana", "luis"), first.Manifest, "ana", "luis"))
 	c.Assert(errors.As(err, &raced), qt.IsTrue)
-	c.Check(raced.Winner.Digest(), qt.Equals, winner.Manifest.Digest())
+	c.Check(raced.Accepted.Digest(), qt.Equals, winner.Manifest.Digest())
 
 	gone := content(2, "ana", "luis")
 	gone.Databases[0].Targets[2].ID = "another"
@@ -135,11 +135,11 @@
 			list.Operators = append(list.Operators, operator(name))
 		}
 		r := rosebundle.NewRollout(rosebundle.RolloutConfig{
-			Anchors: list,
-			Apply:   func(_ *rosebundle.Content, m rosebundle.Manifest) { versions = append(versions, m.Version) },
+			TrustAnchors: list,
+			Apply:        func(_ *rosebundle.Content, m rosebundle.Manifest) { versions = append(versions, m.Version) },
 		})
 		for _, text := range texts {
-			_ = r.Take(ctx, text, fetch)
+			_ = r.Update(ctx, text, fetch)
 		}
 		return fmt.Sprint(versions)
 	}
--- a/pkg/rosepeer/link.go
+++ b/pkg/rosepeer/link.go
@@ -84,7 +84,7 @@
 	m.tasks.Go(func() { l.write(ctx) })
 	m.receive(l.id, first)
 	m.mu.Lock()
-	m.send(Envelope{l.id, m.node.Introduction()})
+	m.send(Envelope{l.id, m.node.FullState()})
 	m.mu.Unlock()
 	for {
 		message, err := read(ctx, conn)
--- a/pkg/rosepeer/mesh.go
+++ b/pkg/rosepeer/mesh.go
@@ -42,18 +42,18 @@
 	OnCancel func(pid, secret uint32)
 	// Provide returns the part of the bundle with that digest, or the
 	// manifest in force for an empty one.
-	Provide func(digest string) (string, bool)
+	BundlePart func(digest string) (string, bool)
 	// OnAsk answers a peer's ask for connections.
-	OnAsk func(from rosemary.ProxyID, ask rosewire.Ask) rosewire.Grant
+	OnConnectionRequest func(from rosemary.ProxyID, ask rosewire.Ask) rosewire.Grant
 	// OnGrant is told of a peer's grant.
-	OnGrant func(rosewire.Grant)
+	OnConnectionGrant func(rosewire.Grant)
 	// OnQuestion answers a peer's question, and may take its time; nil
 	// answers none.
 	OnQuestion func(from rosemary.ProxyID, question rosewire.Question) rosewire.Reply
 	// Tick separates looks at what is due; zero means defaultTick.
-	Tick time.Duration
+	TickInterval time.Duration
 	// MayTunnel reports whether a peer may reach that address through here.
-	MayTunnel func(address string) bool
+	AllowTunnel func(address string) bool
 }
 
 // Mesh carries a node's messages. Its methods may be called concurrently.
@@ -70,7 +70,7 @@
 	links   map[rosemary.ProxyID]*link
 	dialing map[rosemary.ProxyID]time.Time
 	pulls   map[pullKey][]chan string
-	surveys map[uint64]chan<- SurveyReply
+	surveys map[uint64]chan<- PeerReply
 	asked   uint64
 	closed  bool
 	sent    Traffic
@@ -89,8 +89,8 @@
 
 // NewMesh returns a mesh; Run starts it and Handler serves peers.
 func NewMesh(config Config) *Mesh {
-	if config.Tick <= 0 {
-		config.Tick = defaultTick
+	if config.TickInterval <= 0 {
+		config.TickInterval = defaultTick
 	}
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -108,7 +108,7 @@
 		links:   make(map[rosemary.ProxyID]*link),
 		dialing: make(map[rosemary.ProxyID]time.Time),
 		pulls:   make(map[pullKey][]chan string),
-		surveys: make(map[uint64]chan<- SurveyReply),
+		surveys: make(map[uint64]chan<- PeerReply),
 	}
 	if config.TLS != nil {
 		m.scheme = "wss://"
@@ -126,7 +126,7 @@
 
 // Run keeps links to the neighbours until ctx ends.
 func (m *Mesh) Run(ctx context.Context) {
-	ticker := time.NewTicker(m.config.Tick)
+	ticker := time.NewTicker(m.config.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -200,15 +200,15 @@
 	case message.Cancel != nil:
 		m.config.OnCancel(uint32(message.Cancel.ProcessID), uint32(message.Cancel.Secret))
 	case message.Pull != nil:
-		body, _ := m.config.Provide(message.Pull.Digest)
+		body, _ := m.config.BundlePart(message.Pull.Digest)
 		m.sendTo(from, rosewire.Message{Content: &rosewire.Content{Digest: message.Pull.Digest, Body: body}})
 	case message.Content != nil:
 		m.deliver(from, *message.Content)
 	case message.Ask != nil:
-		grant := m.config.OnAsk(from, *message.Ask)
+		grant := m.config.OnConnectionRequest(from, *message.Ask)
 		m.sendTo(from, rosewire.Message{Grant: &grant})
 	case message.Grant != nil:
-		m.config.OnGrant(*message.Grant)
+		m.config.OnConnectionGrant(*message.Grant)
 	case message.Question != nil:
 		m.answer(from, *message.Question)
 	case message.Reply != nil:
@@ -225,8 +225,8 @@
 	m.send(Envelope{to, message})
 }
 
-// Ask asks a peer for connections to a target; the answer comes by OnGrant.
-func (m *Mesh) Ask(to rosemary.ProxyID, ask rosewire.Ask) {
+// RequestConnections asks a peer for connections to a target; the answer comes by OnGrant.
+func (m *Mesh) RequestConnections(to rosemary.ProxyID, ask rosewire.Ask) {
 	m.sendTo(to, rosewire.Message{Ask: &ask})
 }
 
@@ -240,9 +240,9 @@
 	delete(m.pulls, key)
 }
 
-// Pull asks a peer for a part of its bundle. Errors are trace.NotFound when it
+// FetchPart asks a peer for a part of its bundle. Errors are trace.NotFound when it
 // lacks the part, and trace.ConnectionProblem.
-func (m *Mesh) Pull(ctx context.Context, from rosemary.ProxyID, digest string) (string, error) {
+func (m *Mesh) FetchPart(ctx context.Context, from rosemary.ProxyID, digest string) (string, error) {
 	answer := make(chan string, 1)
 	key := pullKey{from, digest}
 	m.mu.Lock()
@@ -267,8 +267,8 @@
 	}
 }
 
-// Cancel passes a cancel request to every linked peer.
-func (m *Mesh) Cancel(pid, secret uint32) {
+// ForwardCancel passes a cancel request to every linked peer.
+func (m *Mesh) ForwardCancel(pid, secret uint32) {
 	message := rosewire.Message{Cancel: &rosewire.Cancel{ProcessID: uint64(pid), Secret: uint64(secret)}}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -277,14 +277,14 @@
 	}
 }
 
-// Announce passes on a change of a primary.
-func (m *Mesh) Announce(lead rosewire.Lead) {
-	m.change(func(n *Node) { n.Announce(lead) })
+// AnnouncePrimary passes on a change of a primary.
+func (m *Mesh) AnnouncePrimary(lead rosewire.Lead) {
+	m.change(func(n *Node) { n.AnnouncePrimary(lead) })
 }
 
-// SetVersion records the version of the bundle in force here.
-func (m *Mesh) SetVersion(version uint64) {
-	m.change(func(n *Node) { n.SetVersion(version) })
+// SetBundleVersion records the version of the bundle in force here.
+func (m *Mesh) SetBundleVersion(version uint64) {
+	m.change(func(n *Node) { n.SetBundleVersion(version) })
 }
 
 // Leave tells the peers that this proxy shuts down.
@@ -292,9 +292,9 @@
 	m.change(func(n *Node) { n.Leave() })
 }
 
-// Learn takes in members from settings or the platform's list.
-func (m *Mesh) Learn(members []rosemary.Member) {
-	m.change(func(n *Node) { n.Learn(time.Now(), members) })
+// AddMembers takes in members from settings or the platform's list.
+func (m *Mesh) AddMembers(members []rosemary.Member) {
+	m.change(func(n *Node) { n.AddMembers(time.Now(), members) })
 }
 
 // change changes the node and sends what follows from it at once.
@@ -305,11 +305,11 @@
 	})
 }
 
-// Live returns the members that take part, this one included.
-func (m *Mesh) Live() []rosemary.Member {
+// LiveMembers returns the members that take part, this one included.
+func (m *Mesh) LiveMembers() []rosemary.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.node.Live()
+	return m.node.LiveMembers()
 }
 
 // View lists what is known of every other member.
@@ -319,8 +319,8 @@
 	return m.node.View()
 }
 
-// Linked lists the peers that this proxy has a link to.
-func (m *Mesh) Linked() []rosemary.ProxyID {
+// LinkedPeers lists the peers that this proxy has a link to.
+func (m *Mesh) LinkedPeers() []rosemary.ProxyID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	ids := make([]rosemary.ProxyID, 0, len(m.links))
@@ -330,8 +330,8 @@
 	return ids
 }
 
-// Sent returns what was sent to peers so far.
-func (m *Mesh) Sent() Traffic {
+// SentTraffic returns what was sent to peers so far.
+func (m *Mesh) SentTraffic() Traffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sent
--- a/pkg/rosepeer/neighbours.go
+++ b/pkg/rosepeer/neighbours.go
@@ -31,10 +31,10 @@
 	}
 	members = append(members, n.config.Self)
 	before := n.neighbours
-	if n.config.Select != nil && len(members) > n.config.MeshSize {
-		n.neighbours = n.config.Select(n.config.Self, members)
+	if n.config.SelectNeighbours != nil && len(members) > n.config.FullMeshSize {
+		n.neighbours = n.config.SelectNeighbours(n.config.Self, members)
 	} else {
-		n.neighbours = neighboursOf(n.config.Self, members, n.config.MeshSize)
+		n.neighbours = neighboursOf(n.config.Self, members, n.config.FullMeshSize)
 	}
 	n.unwatch(before)
 	return n.neighbours
--- a/pkg/rosepeer/node.go
+++ b/pkg/rosepeer/node.go
@@ -31,12 +31,12 @@
 	// Incarnation grows with each start of the proxy.
 	Incarnation uint64
 	// Heartbeat separates heartbeats to one neighbour.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// MeshSize is the number of members up to which all are neighbours.
-	MeshSize int
+	FullMeshSize int
 	// Select replaces the choice of neighbours beyond MeshSize; both ends
 	// must choose each other. Nil takes rings.
-	Select func(self rosemary.Member, members []rosemary.Member) []rosemary.ProxyID
+	SelectNeighbours func(self rosemary.Member, members []rosemary.Member) []rosemary.ProxyID
 }
 
 const (
@@ -82,10 +82,10 @@
 	Member rosemary.Member
 	State  State
 	// Lead is set when a primary changed.
-	Lead *rosewire.Lead
+	Primary *rosewire.Lead
 	// Version and From are set when a newer bundle is known.
-	Version uint64
-	From    rosemary.ProxyID
+	BundleVersion uint64
+	From          rosemary.ProxyID
 }
 
 // Node is the membership as one proxy sees it. It isn't safe for concurrent
@@ -110,11 +110,11 @@
 
 // NewNode returns a node that knows only itself.
 func NewNode(config NodeConfig) *Node {
-	if config.Heartbeat == 0 {
-		config.Heartbeat = defaultHeartbeat
+	if config.HeartbeatInterval == 0 {
+		config.HeartbeatInterval = defaultHeartbeat
 	}
-	if config.MeshSize == 0 {
-		config.MeshSize = defaultMeshSize
+	if config.FullMeshSize == 0 {
+		config.FullMeshSize = defaultMeshSize
 	}
 	return &Node{
 		config:      config,
@@ -126,9 +126,9 @@
 	}
 }
 
-// Learn takes in members from settings or the platform's list. They are
+// AddMembers takes in members from settings or the platform's list. They are
 // contacted, but count as live only once they were heard.
-func (n *Node) Learn(now time.Time, members []rosemary.Member) {
+func (n *Node) AddMembers(now time.Time, members []rosemary.Member) {
 	for _, m := range members {
 		if m.Proxy == n.config.Self.Proxy || m.Leaving {
 			continue
@@ -145,8 +145,8 @@
 	}
 }
 
-// Live returns the members that take part, this one included.
-func (n *Node) Live() []rosemary.Member {
+// LiveMembers returns the members that take part, this one included.
+func (n *Node) LiveMembers() []rosemary.Member {
 	live := []rosemary.Member{n.config.Self}
 	for _, p := range n.peers {
 		if p.proven && p.state <= StateSuspect {
@@ -169,10 +169,10 @@
 // MemberView is a member as operators see it.
 type MemberView struct {
 	rosemary.Member
-	State   string
-	Proven  bool
-	Version uint64
-	Heard   time.Time
+	State         string
+	Confirmed     bool
+	BundleVersion uint64
+	LastSeen      time.Time
 }
 
 var stateNames = []string{"alive", "suspect", "leaving", "dead"}
@@ -190,8 +190,8 @@
 	return views
 }
 
-// SetVersion records the version of the bundle in force here.
-func (n *Node) SetVersion(version uint64) {
+// SetBundleVersion records the version of the bundle in force here.
+func (n *Node) SetBundleVersion(version uint64) {
 	n.version = max(n.version, version)
 	if version > n.newest {
 		n.newest = version
@@ -200,11 +200,11 @@
 	}
 }
 
-// Version returns the version in force here, and the newest heard of.
-func (n *Node) Version() (uint64, uint64) { return n.version, n.newest }
+// BundleVersions returns the version in force here, and the newest heard of.
+func (n *Node) BundleVersions() (uint64, uint64) { return n.version, n.newest }
 
-// Announce passes on a change of a primary.
-func (n *Node) Announce(lead rosewire.Lead) {
+// AnnouncePrimary passes on a change of a primary.
+func (n *Node) AnnouncePrimary(lead rosewire.Lead) {
 	if n.takeLead(lead) {
 		n.news.Leads = append(n.news.Leads, lead)
 	}
@@ -261,9 +261,9 @@
 // seldom, as each proxy then watches over few.
 func (n *Node) interval() time.Duration {
 	if len(n.peers) > meshHeartbeatSize {
-		return largeFactor * n.config.Heartbeat
+		return largeFactor * n.config.HeartbeatInterval
 	}
-	return n.config.Heartbeat
+	return n.config.HeartbeatInterval
 }
 
 // watch raises suspicion against neighbours that went silent, gives up on
--- a/pkg/rosepeer/rank.go
+++ b/pkg/rosepeer/rank.go
@@ -30,9 +30,9 @@
 	return x ^ x>>33
 }
 
-// Ranked returns members in the rendezvous order of key. A member that comes
+// RendezvousOrder returns members in the rendezvous order of key. A member that comes
 // or goes moves no other.
-func Ranked(key string, members []rosemary.Member) []rosemary.Member {
+func RendezvousOrder(key string, members []rosemary.Member) []rosemary.Member {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b rosemary.Member) int {
 		return cmp.Or(cmp.Compare(score(key, b.Proxy), score(key, a.Proxy)), cmp.Compare(a.Proxy, b.Proxy))
@@ -40,9 +40,9 @@
 	return ranked
 }
 
-// Rank returns the place of id in the rendezvous order of key, or the number
+// RendezvousRank returns the place of id in the rendezvous order of key, or the number
 // of members when it isn't among them.
-func Rank(key string, members []rosemary.Member, id rosemary.ProxyID) int {
+func RendezvousRank(key string, members []rosemary.Member, id rosemary.ProxyID) int {
 	own, rank, found := score(key, id), 0, false
 	for _, m := range members {
 		other := score(key, m.Proxy)
--- a/pkg/rosepeer/receive.go
+++ b/pkg/rosepeer/receive.go
@@ -22,8 +22,8 @@
 	return n.flush(), events
 }
 
-// Introduction returns all that a proxy with a new connection should know.
-func (n *Node) Introduction() rosewire.Message {
+// FullState returns all that a proxy with a new connection should know.
+func (n *Node) FullState() rosewire.Message {
 	news := rosewire.News{BundleVersion: &n.newest}
 	for _, p := range n.peers {
 		if p.proven && p.state < StateDead {
@@ -73,7 +73,7 @@
 		if n.takeLead(l) {
 			lead := l
 			n.news.Leads = append(n.news.Leads, lead)
-			events = append(events, Event{Lead: &lead})
+			events = append(events, Event{Primary: &lead})
 		}
 	}
 	if news.BundleVersion != nil {
@@ -91,7 +91,7 @@
 	if version > n.newest {
 		n.newest = version
 	}
-	return []Event{{Version: version, From: from}}
+	return []Event{{BundleVersion: version, From: from}}
 }
 
 // takeMember takes in what a peer says of a member.
--- a/pkg/rosepeer/scale_test.go
+++ b/pkg/rosepeer/scale_test.go
@@ -82,8 +82,8 @@
 		f.index[f.members[i].Proxy] = i
 	}
 	for i, m := range f.members {
-		node := rosepeer.NewNode(rosepeer.NodeConfig{Self: m, Incarnation: 1, MeshSize: mesh, Select: choose})
-		node.Learn(f.now, f.members)
+		node := rosepeer.NewNode(rosepeer.NodeConfig{Self: m, Incarnation: 1, FullMeshSize: mesh, SelectNeighbours: choose})
+		node.AddMembers(f.now, f.members)
 		f.nodes = append(f.nodes, node)
 		heap.Push(&f.queue, delivery{at: f.now.Add(tickEvery * time.Duration(i%100) / 100), to: i})
 	}
@@ -142,11 +142,11 @@
 		if e.Member.Proxy == f.lost && e.State == rosepeer.StateDead && f.goneAt[i].IsZero() {
 			f.goneAt[i] = f.now
 		}
-		if e.Version > 0 && f.inForce[i].IsZero() {
+		if e.BundleVersion > 0 && f.inForce[i].IsZero() {
 			const roundTrips = 3
 			f.inForce[i] = f.now.Add(time.Hour)
 			from := f.index[e.From]
-			heap.Push(&f.queue, delivery{at: f.now.Add(2 * roundTrips * f.delay(i, from)), to: i, version: e.Version})
+			heap.Push(&f.queue, delivery{at: f.now.Add(2 * roundTrips * f.delay(i, from)), to: i, version: e.BundleVersion})
 		}
 	}
 }
@@ -165,7 +165,7 @@
 		switch {
 		case d.version > 0:
 			f.inForce[d.to] = f.now
-			node.SetVersion(d.version)
+			node.SetBundleVersion(d.version)
 			envelopes, events = node.Tick(f.now)
 		case d.message != nil:
 			envelopes, events = node.Receive(f.now, d.from, *d.message)
@@ -189,7 +189,7 @@
 		if zones[m.Zone] < 2 && !f.dead[i] {
 			zones[m.Zone]++
 			f.inForce[i] = f.now
-			f.nodes[i].SetVersion(version)
+			f.nodes[i].SetBundleVersion(version)
 		}
 	}
 	f.run(10 * time.Second)
--- a/pkg/rosepeer/survey.go
+++ b/pkg/rosepeer/survey.go
@@ -10,30 +10,30 @@
 // What a question may be about.
 const (
 	// AboutReach asks whether a target answers the peer.
-	AboutReach = "Reach"
+	AboutReachability = "Reach"
 	// AboutStop has the peer stop relying on the primary of a term.
-	AboutStop = "Stop"
+	AboutPrimaryRevoked = "Stop"
 	// AboutSuspicion tells that a primary has just not answered the sender.
-	AboutSuspicion = "Suspicion"
+	AboutPrimarySuspected = "Suspicion"
 	// AboutComplaint tells that the sender can't reach a primary.
-	AboutComplaint = "Complaint"
+	AboutPrimaryUnreachable = "Complaint"
 	// AboutFacts asks for the statuses that the peer has sampled.
-	AboutFacts = "Facts"
+	AboutTargetStatuses = "Facts"
 	// AboutAbstain asks a peer that can't reach the store either not to
 	// claim a duty for a while.
 	AboutAbstain = "Abstain"
 )
 
-// SurveyReply is one peer's reply.
-type SurveyReply struct {
+// PeerReply is one peer's reply.
+type PeerReply struct {
 	From rosemary.ProxyID
 	rosewire.Reply
 }
 
-// Survey asks every linked peer, and returns their replies once all have come
+// QueryAll asks every linked peer, and returns their replies once all have come
 // or ctx ends, and the peers that were asked.
-func (m *Mesh) Survey(ctx context.Context, question rosewire.Question) ([]SurveyReply, []rosemary.ProxyID) {
-	return m.survey(ctx, question, m.Linked())
+func (m *Mesh) QueryAll(ctx context.Context, question rosewire.Question) ([]PeerReply, []rosemary.ProxyID) {
+	return m.survey(ctx, question, m.LinkedPeers())
 }
 
 // Query asks one peer. It reports false without a reply before ctx ends.
@@ -45,11 +45,11 @@
 	return replies[0].Reply, true
 }
 
-func (m *Mesh) survey(ctx context.Context, question rosewire.Question, asked []rosemary.ProxyID) ([]SurveyReply, []rosemary.ProxyID) {
+func (m *Mesh) survey(ctx context.Context, question rosewire.Question, asked []rosemary.ProxyID) ([]PeerReply, []rosemary.ProxyID) {
 	m.mu.Lock()
 	m.asked++
 	question.Number = m.asked
-	replies := make(chan SurveyReply, len(asked))
+	replies := make(chan PeerReply, len(asked))
 	m.surveys[question.Number] = replies
 	for _, id := range asked {
 		m.send(Envelope{id, rosewire.Message{Question: &question}})
@@ -60,7 +60,7 @@
 		delete(m.surveys, question.Number)
 		m.mu.Unlock()
 	}()
-	var got []SurveyReply
+	var got []PeerReply
 	for len(got) < len(asked) {
 		select {
 		case reply := <-replies:
@@ -89,7 +89,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	select {
-	case m.surveys[reply.Number] <- SurveyReply{from, reply}:
+	case m.surveys[reply.Number] <- PeerReply{from, reply}:
 	default:
 	}
 }
--- a/pkg/rosepeer/tunnel.go
+++ b/pkg/rosepeer/tunnel.go
@@ -28,7 +28,7 @@
 // serveTunnel joins a peer to a target that only this proxy may reach.
 func (m *Mesh) serveTunnel(w http.ResponseWriter, r *http.Request) {
 	address := r.URL.Query().Get("address")
-	if !m.config.MayTunnel(address) {
+	if !m.config.AllowTunnel(address) {
 		http.Error(w, "the address is no target of the bundle in force", http.StatusForbidden)
 		return
 	}
@@ -95,7 +95,7 @@
 // Dial opens a stream to address. The error is that of the direct attempt.
 func (d *TunnelDialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	mesh := d.mesh()
-	if mesh == nil || len(mesh.Linked()) == 0 {
+	if mesh == nil || len(mesh.LinkedPeers()) == 0 {
 		return d.direct.Dial(ctx, address)
 	}
 	d.mu.Lock()
--- a/pkg/rosepeer/tunnel_test.go
+++ b/pkg/rosepeer/tunnel_test.go
@@ -22,16 +22,16 @@
 	c.Assert(err, qt.IsNil)
 	member := rosemary.Member{Proxy: rosemary.ProxyID(name), Zone: rosemary.Zone(zone), Address: listener.Addr().String()}
 	mesh := rosepeer.NewMesh(rosepeer.Config{
-		Node:      rosepeer.NodeConfig{Self: member, Incarnation: 1},
-		Dialer:    network.Dialer(place),
-		OnEvent:   func(rosepeer.Event) {},
-		OnCancel:  func(uint32, uint32) {},
-		OnAsk:     func(rosemary.ProxyID, rosewire.Ask) rosewire.Grant { return rosewire.Grant{} },
-		OnGrant:   func(rosewire.Grant) {},
-		Provide:   func(string) (string, bool) { return "", false },
-		MayTunnel: func(address string) bool { return address == "target:1" },
+		Node:                rosepeer.NodeConfig{Self: member, Incarnation: 1},
+		Dialer:              network.Dialer(place),
+		OnEvent:             func(rosepeer.Event) {},
+		OnCancel:            func(uint32, uint32) {},
+		OnConnectionRequest: func(rosemary.ProxyID, rosewire.Ask) rosewire.Grant { return rosewire.Grant{} },
+		OnConnectionGrant:   func(rosewire.Grant) {},
+		BundlePart:          func(string) (string, bool) { return "", false },
+		AllowTunnel:         func(address string) bool { return address == "target:1" },
 	})
-	mesh.Learn(seeds)
+	mesh.AddMembers(seeds)
 	server := &http.Server{Handler: mesh.Handler()}
 	go func() { _ = server.Serve(listener) }()
 	go func() {
--- a/pkg/rosestore/roster.go
+++ b/pkg/rosestore/roster.go
@@ -10,15 +10,15 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Roster reads the platform's list of VMs over HTTP and JSON.
-type Roster struct {
+// MemberSource reads the platform's list of VMs over HTTP and JSON.
+type MemberSource struct {
 	client *Client
 }
 
-var _ rosemary.MemberSource = (*Roster)(nil)
+var _ rosemary.MemberSource = (*MemberSource)(nil)
 
-// NewRoster returns a roster at the client's address.
-func NewRoster(client *Client) *Roster { return &Roster{client: client} }
+// NewMemberSource returns a roster at the client's address.
+func NewMemberSource(client *Client) *MemberSource { return &MemberSource{client: client} }
 
 // listed is a VM as the platform writes it.
 type listed struct {
@@ -30,7 +30,7 @@
 
 // Members returns the list as the platform knows it now. The error is a
 // trace.ConnectionProblem.
-func (r *Roster) Members(ctx context.Context) ([]rosemary.Member, error) {
+func (r *MemberSource) Members(ctx context.Context) ([]rosemary.Member, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.client.config.Address+"/vms", nil)
--- a/pkg/rosesupervisor/duty.go
+++ b/pkg/rosesupervisor/duty.go
@@ -433,7 +433,7 @@
 			elsewhere++
 		}
 	}
-	return elsewhere + rosepeer.Rank("supervise/"+group, before, d.config.Self.Proxy)
+	return elsewhere + rosepeer.RendezvousRank("supervise/"+group, before, d.config.Self.Proxy)
 }
 
 // handOver gives a duty back if its group's primary has long been in this
