--- a/pkg/rosemary/doc.go
+++ b/pkg/rosemary/doc.go
@@ -1,4 +1,4 @@
-// Package rosemary holds the interfaces and plain values shared by the
-// proxy's packages. It has no sockets and no goroutines, so the decisions
-// built on it can be embedded and run under a paused clock.
+// Package rosemary defines the interfaces and value types shared by the
+// proxy's packages. It opens no sockets and starts no goroutines, so that the
+// logic built on it can be embedded and tested under a fake clock.
 package rosemary
--- a/pkg/rosemary/group.go
+++ b/pkg/rosemary/group.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// TargetID names a target within the whole deployment.
+// TargetID identifies a target; it is unique within the deployment.
 type TargetID string
 
-// Zone names an availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// ProxyID names a proxy.
+// ProxyID identifies a proxy.
 type ProxyID string
 
 // Target is one database server of a group.
@@ -18,28 +18,28 @@
 	Zone    Zone
 }
 
-// Group is a database and the targets that hold copies of it.
+// Group is a database and the targets that replicate it.
 type Group struct {
 	Database string
 	Targets  []Target
-	// Slots is the number of statements that a target runs at once.
+	// Slots is the number of statements that a target runs concurrently.
 	Slots int
-	// Connections is the number of connections that a target accepts.
+	// MaxConnections is the number of connections that a target accepts.
 	MaxConnections int
 }
 
-// Quorum returns the number of targets that an acknowledged write is on.
+// Quorum returns the number of targets that store an acknowledged write.
 func (g Group) Quorum() int {
 	return len(g.Targets)/2 + 1
 }
 
-// FenceQuorum returns the number of targets to fence before a promotion, so
-// that they include a holder of every acknowledged write.
+// FenceQuorum returns the number of targets to fence before a promotion. Any
+// set of that size includes a copy of every acknowledged write.
 func (g Group) FenceQuorum() int {
 	return len(g.Targets) - g.Quorum() + 1
 }
 
-// Find returns the target of that identifier.
+// Find returns the target with the given identifier.
 func (g Group) Find(id TargetID) (Target, bool) {
 	for _, t := range g.Targets {
 		if t.ID == id {
@@ -49,36 +49,37 @@
 	return Target{}, false
 }
 
-// Class is a declared kind of statement.
+// Class is a class of statements with common consistency and deadline rules.
 type Class struct {
 	Name string
 	// ReadOnly allows a replica to serve the statement.
 	ReadOnly bool
 	// MaxAge bounds the age of the data that a replica may serve.
 	MaxAge time.Duration
-	// OwnWrites makes reads within MaxAge see the session's own writes too.
+	// ReadYourWrites makes reads within MaxAge also see the session's own
+	// writes.
 	ReadYourWrites bool
-	// Idempotent allows the statement to be sent again after a failure.
+	// Idempotent allows the statement to be retried after a failure.
 	Idempotent bool
-	// Deadline bounds the time to an answer.
+	// Deadline bounds the response time.
 	Deadline time.Duration
-	// Weight is the share of a class within its tenant.
+	// Weight is the scheduling weight of the class within its tenant.
 	Weight int
 }
 
-// Tenant is a customer whose work is kept apart from that of others.
+// Tenant is a customer whose load is isolated from that of others.
 type Tenant struct {
 	Name string
-	// Weight is the tenant's share of scarce capacity.
+	// Weight is the tenant's share of the capacity under overload.
 	Weight int
-	// Databases lists those that the tenant may use.
+	// Databases lists the databases that the tenant may use.
 	Databases []string
-	// Verifier is the SCRAM-SHA-256 verifier of the tenant's password.
-	// Empty means that the tenant is trusted.
+	// Verifier is the SCRAM-SHA-256 verifier of the tenant's password. If
+	// it is empty, the tenant connects without a password.
 	Verifier string
 }
 
-// DefaultClass is the class of statements that name none.
+// DefaultClass returns the class of statements that name none.
 func DefaultClass(deadline time.Duration) Class {
 	return Class{Name: "default", Deadline: deadline, Weight: 1}
 }
--- a/pkg/rosemary/keyvalue.go
+++ b/pkg/rosemary/keyvalue.go
@@ -6,63 +6,65 @@
 	"time"
 )
 
-// ErrCompacted is the error of KeyValue.Changes when the store no longer
-// has the changes after the revision asked for; list the keys anew.
-var ErrCompacted = errors.New("the store has dropped the changes asked for; list the keys anew")
+// ErrCompacted is returned by KeyValue.Changes if the store no longer has all
+// changes after the requested revision. The caller has to list the keys again.
+var ErrCompacted = errors.New("the store has compacted the requested revision; list the keys again")
 
-// Item is a key of the platform's store with its value.
+// Item is a key of the platform's store and its value.
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision is that of the last change.
+	// Revision is the store's revision at the last change of the key.
 	Revision int64
-	// Created is the revision at which the key came into being.
+	// CreateRevision is the store's revision at which the key was created.
 	CreateRevision int64
-	// Lease is zero for a key that outlives its writer.
+	// Lease is the lease that the key is deleted with; zero for none.
 	Lease int64
 }
 
-// ItemEvent is one change of a key.
+// ItemEvent is a change of one key.
 type ItemEvent struct {
 	Item
 	Deleted bool
 }
 
-// Precondition is a revision that a key must have; zero means absent.
+// Precondition is the revision that a key must have; zero means absent.
 type Precondition struct {
 	Key      string
 	Revision int64
 }
 
-// Change is a set of writes that takes effect as a whole, or not at all.
+// Change is a set of writes and deletions that is applied atomically.
 type Change struct {
 	Preconditions []Precondition
 	Writes        []Item
-	// Deletes lists keys to remove.
+	// Deletes lists the keys to delete.
 	Deletes []string
 }
 
-// KeyValue is the platform's store with ranges, leases and transactions. A
-// call that failed may still have taken effect; callers read back. Errors are
-// trace.ConnectionProblem when the store can't be reached or refuses.
+// KeyValue is the platform's key-value store with ranges, leases and
+// transactions. A failed call may still have taken effect, so callers have to
+// read the keys back. The error is a trace.ConnectionProblem if the store
+// can't be reached or rejects the call.
 type KeyValue interface {
-	// Read returns the newest value of key, or trace.NotFound.
+	// Read returns the latest value of key, or trace.NotFound.
 	Read(ctx context.Context, key string) (Item, error)
-	// List returns the keys under prefix and the store's revision. A stale
-	// list is cheap and may be seconds old.
+	// List returns the keys with the prefix and the store's revision. With
+	// stale it may return data that is seconds old, which costs less.
 	List(ctx context.Context, prefix string, stale bool) ([]Item, int64, error)
-	// Changes returns what happened under prefix after a revision, at the
-	// latest after wait, and the revision to go on from. The error is
-	// ErrHistoryLost when the store has dropped that history.
+	// Changes waits up to wait for changes of keys with the prefix after a
+	// revision. It returns them and the revision to continue from. The
+	// error is ErrCompacted if the store no longer has these changes.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]ItemEvent, int64, error)
-	// Apply makes a change and returns its revision. The error is
-	// trace.CompareFailed when an expectation isn't met, and trace.NotFound
-	// when the lease of a write has ended.
+	// Apply commits a change and returns its revision. The error is a
+	// trace.CompareFailed if a precondition isn't met, and a trace.NotFound
+	// if the lease of a write has expired.
 	Apply(ctx context.Context, change Change) (int64, error)
-	// Grant returns a new lease and the lifetime that applies.
+	// GrantLease returns a new lease and its actual lifetime.
 	GrantLease(ctx context.Context, lifetime time.Duration) (int64, time.Duration, error)
-	// Renew extends a lease, or returns trace.NotFound once it has ended.
+	// RenewLease extends a lease. The error is a trace.NotFound if it has
+	// expired.
 	RenewLease(ctx context.Context, lease int64) error
-	// End removes a lease with its keys.
+	// RevokeLease removes a lease and deletes its keys.
 	RevokeLease(ctx context.Context, lease int64) error
 }
--- a/pkg/rosemary/position.go
+++ b/pkg/rosemary/position.go
@@ -8,8 +8,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Position is a place in a database group's log. Positions are ordered by
-// LogTerm first and Offset second; the zero Position precedes every record.
+// Position is a position in a group's replication log. Positions are ordered
+// by LogTerm, then by Offset. The zero Position precedes every record.
 type Position struct {
 	// LogTerm is the term under which the last record was written.
 	LogTerm uint64
@@ -45,20 +45,20 @@
 	return strconv.FormatUint(p.LogTerm, 10) + "/" + strconv.FormatUint(p.Offset, 10)
 }
 
-// ParsePosition reads the form that String writes. The error is a
+// ParsePosition parses the output of String. The error is a
 // trace.BadParameter.
 func ParsePosition(text string) (Position, error) {
 	term, offset, found := strings.Cut(text, "/")
 	if !found {
-		return Position{}, trace.BadParameter("position %q is not of the form logterm/offset", text)
+		return Position{}, trace.BadParameter("position %q is not in the form logterm/offset", text)
 	}
 	t, err := strconv.ParseUint(term, 10, 64)
 	if err != nil {
-		return Position{}, trace.BadParameter("position %q: bad term", text)
+		return Position{}, trace.BadParameter("position %q: invalid log term", text)
 	}
 	o, err := strconv.ParseUint(offset, 10, 64)
 	if err != nil {
-		return Position{}, trace.BadParameter("position %q: bad offset", text)
+		return Position{}, trace.BadParameter("position %q: invalid offset", text)
 	}
 	return Position{LogTerm: t, Offset: o}, nil
 }
--- a/pkg/rosemary/refusal.go
+++ b/pkg/rosemary/refusal.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Outcome tells a caller what became of a request that got an error.
+// Outcome tells a caller whether a refused or failed request took effect.
 type Outcome string
 
 // Outcomes of a refused or failed request.
@@ -16,7 +16,7 @@
 	OutcomeRan     Outcome = "ran"
 )
 
-// Kind is the reason for a refusal.
+// Kind classifies refusals by their reason.
 type Kind string
 
 // Kinds of refusal.
@@ -40,7 +40,7 @@
 	KindUnknownStatement Kind = "unknown-statement"
 )
 
-// sqlStates maps a kind to the SQLSTATE that callers see.
+// sqlStates maps kinds of refusal to the SQLSTATE codes sent to callers.
 var sqlStates = map[Kind]string{
 	KindOverloaded:       "53000",
 	KindDeadline:         "57014",
@@ -61,23 +61,23 @@
 	KindUnknownStatement: "26000",
 }
 
-// Refusal is the typed error that a caller is answered with.
+// Refusal is the error that the proxy returns to a caller.
 type Refusal struct {
 	Kind    Kind
 	Outcome Outcome
 	Message string
 	// Remedy tells the caller what to do next.
 	Remedy string
-	// RetryAfter is when a retry is worthwhile; zero means any time.
+	// RetryAfter is the time to wait before a retry; zero means none.
 	RetryAfter time.Duration
 }
 
-// Error names the refusal, its outcome and its remedy.
+// Error formats the kind, message, outcome and hint.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%s: %s (%s); %s", r.Kind, r.Message, r.Outcome, r.Hint())
 }
 
-// SQLState returns the five-character code of the refusal.
+// SQLState returns the SQLSTATE code of the refusal.
 func (r *Refusal) SQLState() string {
 	if r.Outcome == OutcomeUnknown {
 		return "08007"
@@ -88,7 +88,7 @@
 	return "XX000"
 }
 
-// Hint returns the remedy with the time of a retry.
+// Hint returns the remedy and the time to wait before a retry.
 func (r *Refusal) Hint() string {
 	if r.RetryAfter <= 0 {
 		return r.Remedy
@@ -96,15 +96,15 @@
 	return fmt.Sprintf("%s; retry after %d ms", r.Remedy, r.RetryAfter.Milliseconds())
 }
 
-// WithOutcome returns a copy of r with another outcome.
+// WithOutcome returns a copy of r with the given outcome.
 func (r *Refusal) WithOutcome(outcome Outcome) *Refusal {
 	refusal := *r
 	refusal.Outcome = outcome
 	return &refusal
 }
 
-// AsRefusal returns the refusal within err, or one of kind connection-lost
-// with the given outcome.
+// AsRefusal returns the refusal that err wraps. For any other error it returns
+// one of kind connection-lost with the given outcome.
 func AsRefusal(err error, outcome Outcome) *Refusal {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
@@ -114,6 +114,6 @@
 		Kind:    KindConnectionLost,
 		Outcome: outcome,
 		Message: err.Error(),
-		Remedy:  "check the target, then ask for the outcome or retry",
+		Remedy:  "check the target, then query the outcome or retry",
 	}
 }
--- a/pkg/rosemary/statement.go
+++ b/pkg/rosemary/statement.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// StatementKind is what a statement does to its session.
+// StatementKind classifies statements by their effect on the session.
 type StatementKind uint8
 
 // Kinds of statement.
@@ -19,7 +19,8 @@
 	StatementPrepare
 	StatementExecute
 	StatementClose
-	// StatementReset clears a connection's values and prepared names.
+	// StatementReset clears the settings and prepared statements of a
+	// connection.
 	StatementReset
 )
 
@@ -36,118 +37,128 @@
 	StatementReset:    "reset",
 }
 
-// String names the kind.
+// String returns the name of the kind.
 func (k StatementKind) String() string { return statementNames[k] }
 
-// Statement is one request of a session, free of any protocol.
+// Statement is one request of a session, independent of the protocol.
 type Statement struct {
-	// ID identifies the caller's request; empty for the proxy's own.
+	// ID identifies the caller's request; empty for statements that the
+	// proxy issues itself.
 	ID   string
 	Kind StatementKind
-	// Writes is set for writes and for the preparation of one.
+	// Writes is set for a write and for preparing one.
 	Writes bool
-	// ReadOnly is set for the begin of a transaction that only reads.
+	// ReadOnly is set for a StatementBegin of a read-only transaction.
 	ReadOnly bool
-	// Name is that of a value or of a prepared statement.
+	// Name is the name of a setting or of a prepared statement.
 	Name string
-	// Payload is passed on unchanged.
+	// Payload is forwarded unchanged.
 	Payload string
-	// Floor, unless zero, is the position that a target must hold to run
-	// the statement.
+	// MinPosition is the position that a target must have reached to run
+	// the statement; zero for none.
 	MinPosition Position
 }
 
 // TransactionState is the state of a session's transaction.
 type TransactionState uint8
 
-// States of a session's transaction.
+// Transaction states.
 const (
-	// BlockIdle is a session outside any transaction.
+	// TransactionNone is a session outside of any transaction.
 	TransactionNone TransactionState = iota
-	// BlockOpen is a session within a transaction.
+	// TransactionOpen is a session within a transaction.
 	TransactionOpen
-	// BlockFailed is a session whose transaction can only be rolled back.
+	// TransactionFailed is a session whose transaction can only be rolled
+	// back.
 	TransactionFailed
 )
 
-// Failure is why a target did not answer a statement with success.
+// Failure is the reason why a statement failed at a target.
 type Failure uint8
 
-// Failures of a statement. Each tells whether the statement ran.
+// Failures of a statement. MayHaveRun depends on their order: the statement
+// didn't run with those before FailureExecution.
 const (
 	FailureNone Failure = iota
-	// FailureBusy has not run: the target had no slot.
+	// FailureBusy means that the target had no free slot.
 	FailureBusy
-	// FailureBehind has not run: the target's log lacks the floor.
+	// FailureLagging means that the target hasn't reached MinPosition.
 	FailureLagging
-	// FailureReadOnly has not run: the target doesn't lead its group.
+	// FailureReadOnly means that the target isn't the primary of its group.
 	FailureReadOnly
-	// FailureUnprepared has not run: the target doesn't know the name.
+	// FailureUnknownStatement means that no statement of that name is
+	// prepared at the target.
 	FailureUnknownStatement
-	// FailureMalformed has not run: the target couldn't read it.
+	// FailureMalformed means that the target couldn't parse the statement.
 	FailureMalformed
-	// FailureAborted has not run, and its transaction was rolled back.
+	// FailureAborted means that the target rolled back the transaction and
+	// didn't run the statement.
 	FailureAborted
-	// FailureFailed ran without success.
+	// FailureExecution means that the statement ran and failed.
 	FailureExecution
-	// FailureTimeout ran into the target's own limit.
+	// FailureTimeout means that the statement ran into the target's own
+	// time limit.
 	FailureTimeout
-	// FailureOther is an error that the proxy has no rule for.
+	// FailureOther stands for error codes that the proxy doesn't know.
 	FailureOther
 )
 
-// MayHaveRun reports whether the statement may have had an effect.
+// MayHaveRun reports whether the statement may have taken effect.
 func (f Failure) MayHaveRun() bool { return f == FailureNone || f >= FailureExecution }
 
-// Answer is what a target made of a statement.
+// Answer is a target's response to a statement.
 type Answer struct {
 	Rows   []string
 	Digest string
-	// Failure is FailureNone for a success.
+	// Failure is FailureNone on success.
 	Failure Failure
-	// Code and Message are the target's own words of a failure.
+	// Code and Message are the target's error code and message.
 	Code             string
 	Message          string
 	TransactionState TransactionState
-	// Position is that of the target's log, applied; zero when not told.
+	// Position is the target's applied position; zero if not reported.
 	Position Position
 }
 
-// Conn is one connection to a target. It serves one exchange at a time.
+// Conn is a connection to a target. It handles one exchange at a time.
 type Conn interface {
-	// Exchange sends the statements at once and returns their answers in
-	// order. With an error the answers that came before it are returned,
-	// and the link is to be closed; sent tells whether anything left.
+	// Exchange pipelines the statements and returns their answers in order.
+	// On error it returns the answers received until then, and the caller
+	// has to close the connection. sent reports whether any data may have
+	// been sent.
 	Exchange(deadline time.Time, statements ...Statement) (answers []Answer, sent bool, err error)
-	// Status asks the target for its state.
+	// Status queries the target's status.
 	Status(deadline time.Time) (Status, error)
-	// Pause makes a replica refuse its primary's log until a later term.
+	// Pause makes a replica reject its primary's log until a later term
+	// starts.
 	Pause(deadline time.Time, term uint64) (Status, error)
-	// StepDown makes a primary of a lower term a replica.
+	// StepDown demotes a primary of a lower term to a replica.
 	StepDown(deadline time.Time, term uint64) (Status, error)
-	// Resume ends a pause.
+	// Resume reverts Pause.
 	Resume(deadline time.Time) (Status, error)
-	// Close ends the connection; the target rolls back what is open on it.
+	// Close closes the connection. The target rolls back a transaction that
+	// is open on it.
 	Close()
 }
 
-// TargetDialer opens links. Errors are trace.LimitExceeded when the target has
-// no connection left, trace.NotFound when another target or group answers at
-// that address, and trace.ConnectionProblem.
+// TargetDialer connects to targets. The error is a trace.LimitExceeded if the
+// target has no connection left, a trace.NotFound if a different target or
+// group is served at the address, and a trace.ConnectionProblem otherwise.
 type TargetDialer interface {
 	DialTarget(ctx context.Context, group string, target Target) (Conn, error)
 }
 
-// Promoter asks the platform to make a target the primary of its group.
-// Errors are trace.CompareFailed when the target can't lead now,
-// trace.LimitExceeded, and trace.ConnectionProblem when the outcome is unknown.
+// Promoter calls the platform to promote a target to primary of its group. The
+// error is a trace.CompareFailed if the target can't be promoted now, a
+// trace.LimitExceeded if the platform is overloaded, and a
+// trace.ConnectionProblem if the outcome is unknown.
 type Promoter interface {
-	// Reach reports whether the platform can be reached, without an order.
+	// Ping checks that the platform can be reached.
 	Ping(ctx context.Context) error
 	Promote(ctx context.Context, group string, target TargetID, holder string, generation int64) error
 }
 
-// TargetRegistration is what the platform knows of one target.
+// TargetRegistration is the platform's record of one target.
 type TargetRegistration struct {
 	Target
 	Group       string
@@ -158,53 +169,56 @@
 	Sequence    int64
 }
 
-// TargetSource lists the targets that the platform knows. Entries that can't
-// be read are left out and counted.
+// TargetSource lists the targets registered with the platform. It skips and
+// counts unreadable entries.
 type TargetSource interface {
-	Targets(ctx context.Context) (listings []TargetRegistration, unreadable int, err error)
+	Targets(ctx context.Context) (registrations []TargetRegistration, unreadable int, err error)
 }
 
-// Route is what the configuration says of one database.
+// Route is the configuration of one database.
 type Route struct {
 	Database string
 	Group    string
 	Class    Class
-	// Aim is the time within which callers want the answer.
+	// LatencyObjective is the response time that callers expect.
 	LatencyObjective time.Duration
-	// Priority orders waiting requests; 0 goes first.
+	// Priority orders queued requests; 0 is the highest.
 	Priority int
 }
 
-// GroupSettings is what the configuration says of one group.
+// GroupSettings is the configuration of one group.
 type GroupSettings struct {
 	Name string
-	// Connections is the number that a target accepts from all proxies.
+	// MaxConnections is the number of connections that a target accepts
+	// from all proxies together.
 	MaxConnections int
-	// SyncReplicas is the number of replicas that hold a commit when the
-	// target acknowledges it.
+	// SyncReplicas is the number of replicas that have stored a commit when
+	// the primary acknowledges it.
 	SyncReplicas int
 }
 
-// Configuration is one version of the operators' configuration. It is
-// immutable.
+// Configuration is an immutable version of the operators' configuration.
 type Configuration struct {
 	Version int64
 	Routes  map[string]Route
 	Groups  map[string]GroupSettings
-	// TransactionIdle ends a transaction whose caller is silent.
+	// TransactionIdleTimeout is the idle time after which a transaction is
+	// rolled back.
 	TransactionIdleTimeout time.Duration
-	// Text is what the configuration was read from.
+	// Text is the source from which the configuration was parsed.
 	Text string
 }
 
-// ConfigurationSource reads the configuration in force.
+// ConfigurationSource reads the current configuration.
 type ConfigurationSource interface {
-	// Fetch returns the newest configuration and the revision to await
-	// changes from.
+	// Fetch returns the latest configuration and the revision to pass to
+	// Await.
 	Fetch(ctx context.Context) (*Configuration, int64, error)
-	// Await returns the configuration once it changed after revision, or
-	// nil after wait. The error is ErrHistoryLost when only Fetch helps.
+	// Await waits for a change after revision and returns the new
+	// configuration, or nil if there was none within wait. On ErrCompacted
+	// the caller has to Fetch again.
 	Await(ctx context.Context, revision int64, wait time.Duration) (*Configuration, int64, error)
-	// Parse reads a configuration's text, as another proxy passed it on.
+	// Parse parses the text of a configuration, such as one received from
+	// another proxy.
 	Parse(text string) (*Configuration, error)
 }
--- a/pkg/rosemary/status.go
+++ b/pkg/rosemary/status.go
@@ -7,7 +7,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Role is what a target does for its group.
+// Role is the role of a target in its group.
 type Role string
 
 // Roles of a target.
@@ -17,13 +17,13 @@
 	RoleFenced  Role = "fenced"
 )
 
-// TermStart is the first offset that a term wrote.
+// TermStart is the first offset written in a term.
 type TermStart struct {
 	Term   uint64
 	Offset uint64
 }
 
-// History lists the terms of a log, oldest first.
+// History lists the terms of a log and where they start, oldest first.
 type History []TermStart
 
 // String formats the history as "term:offset,term:offset".
@@ -35,7 +35,7 @@
 	return strings.Join(parts, ",")
 }
 
-// ParseHistory reads the form that String writes. The error is a
+// ParseHistory parses the output of String. The error is a
 // trace.BadParameter.
 func ParseHistory(text string) (History, error) {
 	if text == "" {
@@ -52,18 +52,19 @@
 	return history, nil
 }
 
-// RecordState tells whether a record is part of a log.
+// RecordState tells whether a log contains a record.
 type RecordState int
 
-// Fates of a record with respect to a log.
+// States of a record with respect to a log.
 const (
 	RecordUnknown RecordState = iota
 	RecordPresent
 	RecordLost
 )
 
-// RecordState tells whether a log that ends at end and has history h holds the
-// record written at p. A log that has not reached p's term leaves it unknown.
+// RecordState returns whether the log with history h and last position end
+// contains the record written at p. It is unknown if the log hasn't reached p,
+// or if the term of p precedes those in h.
 func (h History) RecordState(p, end Position) RecordState {
 	if p.LogTerm > end.LogTerm {
 		return RecordUnknown
@@ -89,39 +90,44 @@
 	return RecordLost
 }
 
-// Status is what a target reports of itself.
+// Status is the status that a target reports.
 type Status struct {
 	Target TargetID
 	// Term is the highest term that the target has accepted.
 	Term uint64
-	// Position is that of the target's last record.
+	// Position is the position of the target's last record.
 	Position Position
-	// Applied is the last record that the target's reads see; zero when it
-	// isn't told.
+	// Applied is the position of the last record visible to reads at the
+	// target; zero if not reported.
 	Applied Position
 	Role    Role
-	// Primary is the target that this one follows, itself for a primary.
+	// Primary is the target that this one replicates from; a primary names
+	// itself.
 	Primary TargetID
-	// History is that of the target's log, cut to its newest terms.
+	// History is the history of the target's log, limited to its latest
+	// terms.
 	History History
-	// Streaming is set on a replica while its primary's log reaches it.
+	// Streaming is set on a replica while it receives its primary's log.
 	Streaming bool
-	// Leaving is set when the target asks for no new work.
+	// Leaving is set if the target accepts no new work.
 	Leaving bool
-	// Held is the term of a pause; zero while the target receives.
+	// PausedTerm is the term of Conn.Pause; zero while the target isn't
+	// paused.
 	PausedTerm uint64
-	// Busy and Connections tell how loaded the target is.
+	// BusySlots and Connections are the load of the target.
 	BusySlots   int
 	Connections int
 }
 
-// LeadsTerm reports whether the target is the primary of its own term.
+// LeadsTerm reports whether the target is a primary that has written a record
+// in the term that it has accepted.
 func (s Status) LeadsTerm() bool {
 	return s.Role == RolePrimary && s.Position.LogTerm == s.Term
 }
 
-// Fingerprint returns what a watch compares: it changes with every field but
-// the history, which changes with the term.
+// Fingerprint returns the value that TargetControl.Watch compares. It covers
+// the term, position, role, primary, Leaving and Streaming; the history changes
+// only with the term.
 func (s Status) Fingerprint() string {
 	return strings.Join([]string{
 		strconv.FormatUint(s.Term, 10),
--- a/pkg/rosewire/wire.go
+++ b/pkg/rosewire/wire.go
@@ -2,146 +2,149 @@
 
 package rosewire
 
-// Ask is a demand for connections to a target beyond the sender's floor.
+// Ask requests connections to a target beyond the number reserved for the sender.
 type Ask struct {
-	// Target is the one whose connections are scarce.
+	// Target identifies the target.
 	Target string `cbor:"Target"`
 
-	// Want is the number of connections beyond the floor.
+	// Want is the number of additional connections requested.
 	Want uint64 `cbor:"Want"`
 }
 
-// Cancel is a caller's cancel request that another proxy may know.
+// Cancel is a cancel request whose key the sender doesn't know; another proxy may
+// have issued it.
 type Cancel struct {
-	// ProcessID is the first half of the key.
+	// ProcessID is the first half of the cancel key.
 	ProcessID uint64 `cbor:"ProcessID"`
 
-	// Secret is the second half of the key.
+	// Secret is the second half of the cancel key.
 	Secret uint64 `cbor:"Secret"`
 }
 
 // Content answers a Pull.
 type Content struct {
-	// Body is the part asked for; empty when the sender lacks it.
+	// Body is the requested part; empty if the sender doesn't have it.
 	Body string `cbor:"Body"`
 
-	// Digest is that of the Pull.
+	// Digest is the digest in the Pull.
 	Digest string `cbor:"Digest"`
 }
 
-// Fact is a target's status as the sender learnt it.
+// Fact is the status of a target as last sampled by the sender.
 type Fact struct {
-	// AgeMs is the time since the target was asked.
+	// AgeMs is the time since the status was requested from the target.
 	AgeMs uint64 `cbor:"AgeMs"`
 
-	// AppliedOffset is that of the last record applied.
+	// AppliedOffset is the offset of the last record applied.
 	AppliedOffset uint64 `cbor:"AppliedOffset"`
 
-	// AppliedTerm is that of the last record applied.
+	// AppliedTerm is the log term of the last record applied.
 	AppliedTerm uint64 `cbor:"AppliedTerm"`
 
-	// FreeMs is how long it had then been seen without a fence.
+	// FreeMs is the time for which the target had been seen without a fence when the
+	// status was requested.
 	FreeMs uint64 `cbor:"FreeMs"`
 
-	// Group is the target's.
+	// Group is the group of the target.
 	Group string `cbor:"Group"`
 
-	// Held is the term of its fence, zero for none.
+	// Held is the term for which the target is fenced; zero for none.
 	Held uint64 `cbor:"Held"`
 
-	// LogTerm is that of its last record.
+	// LogTerm is the log term of the target's last record.
 	LogTerm uint64 `cbor:"LogTerm"`
 
-	// Offset is that of its last record.
+	// Offset is the offset of the target's last record.
 	Offset uint64 `cbor:"Offset"`
 
-	// Primary is set for a target that leads.
+	// Primary is set if the target is the primary.
 	Primary bool `cbor:"Primary"`
 
-	// Target is whose status it is.
+	// Target identifies the target.
 	Target string `cbor:"Target"`
 
-	// Term is the target's.
+	// Term is the highest term that the target has accepted.
 	Term uint64 `cbor:"Term"`
 }
 
-// Grant lends connections until the time that an Ask began plus the hold.
+// Grant answers an Ask. It lends connections for a limited time after the Ask was
+// sent.
 type Grant struct {
-	// Extra is the number of connections lent beyond the floor.
+	// Extra is the number of additional connections lent.
 	Extra uint64 `cbor:"Extra"`
 
-	// Target is that of the Ask.
+	// Target is the target of the Ask.
 	Target string `cbor:"Target"`
 }
 
-// Heartbeat shows that the sender lives, and what it has.
+// Heartbeat tells that the sender is alive, and what state it has.
 type Heartbeat struct {
-	// BundleVersion is the version in force at the sender.
+	// BundleVersion is the version of the bundle that the sender uses.
 	BundleVersion uint64 `cbor:"BundleVersion"`
 
-	// Draining is set once the sender shuts down.
+	// Draining is set while the sender shuts down.
 	Draining bool `cbor:"Draining"`
 
-	// Incarnation is that of the sender.
+	// Incarnation is the incarnation of the sender.
 	Incarnation uint64 `cbor:"Incarnation"`
 
-	// Known is a digest of the members that the sender knows.
+	// Known is a digest of the sender's member list.
 	Known uint64 `cbor:"Known"`
 }
 
-// Hello opens a connection between proxies.
+// Hello is the first message on a connection between proxies.
 type Hello struct {
-	// Address is where the sender takes peers.
+	// Address is the address at which the sender accepts peers.
 	Address string `cbor:"Address"`
 
-	// Incarnation grows with each start of the sender.
+	// Incarnation increases with each start of the sender.
 	Incarnation uint64 `cbor:"Incarnation"`
 
-	// Proxy is the sender.
+	// Proxy identifies the sender.
 	Proxy string `cbor:"Proxy"`
 
 	// Zone is the sender's availability zone.
 	Zone string `cbor:"Zone"`
 }
 
-// Lead is a primary and its term.
+// Lead is the primary of a group and its term.
 type Lead struct {
-	// Database is the group's.
+	// Database is the database of the group.
 	Database string `cbor:"Database"`
 
-	// History is that of the primary's log.
+	// History is the term history of the primary's log.
 	History string `cbor:"History"`
 
-	// Offset is that of the primary's last record.
+	// Offset is the offset of the primary's last record.
 	Offset uint64 `cbor:"Offset"`
 
-	// Target is the primary.
+	// Target identifies the primary.
 	Target string `cbor:"Target"`
 
-	// Term is the primary's.
+	// Term is the term of the primary.
 	Term uint64 `cbor:"Term"`
 }
 
-// Member is what is known of one proxy.
+// Member is the state of one proxy in the member list.
 type Member struct {
-	// Address is where the member takes peers.
+	// Address is the address at which the member accepts peers.
 	Address string `cbor:"Address"`
 
-	// Incarnation is that of the member.
+	// Incarnation is the incarnation of the member.
 	Incarnation uint64 `cbor:"Incarnation"`
 
-	// Proxy is the member.
+	// Proxy identifies the member.
 	Proxy string `cbor:"Proxy"`
 
-	// State is the member's state; higher ones override.
+	// State is the state of the member; within an incarnation the higher one takes
+	// precedence.
 	State uint8 `cbor:"State"`
 
 	// Zone is the member's availability zone.
 	Zone string `cbor:"Zone"`
 }
 
-// Message is what one proxy sends to another. Exactly the fields that it carries
-// are set.
+// Message is a message between proxies. Only the fields that it carries are set.
 type Message struct {
 	// Ask corresponds to the JSON schema field "Ask".
 	Ask *Ask `cbor:"Ask,omitempty"`
@@ -180,207 +183,210 @@
 	Result *Result `cbor:"Result,omitempty"`
 }
 
-// News is passed on by each proxy to which it is new.
+// News is a gossip message. Each proxy forwards the entries that are new to it.
 type News struct {
-	// BundleVersion is the newest version in force.
+	// BundleVersion is the latest known version of the bundle.
 	BundleVersion *uint64 `cbor:"BundleVersion,omitempty"`
 
-	// Leads are changes of primaries.
+	// Leads are the changed primaries.
 	Leads []Lead `cbor:"Leads,omitempty"`
 
-	// Members whose state changed.
+	// Members are the members whose state changed.
 	Members []Member `cbor:"Members,omitempty"`
 }
 
-// Order has a group's home run a statement for the sender.
+// Order asks a home of the group, a proxy that holds connections to its targets,
+// to run a statement for the sender.
 type Order struct {
-	// Do is what the home does: Run, Begin, Next, Rollback, or Beat for a sign of
-	// life.
+	// Do is the requested operation: Run, Begin, Next, Rollback, or Beat for a
+	// heartbeat.
 	Do string `cbor:"Do"`
 
-	// Number tells the sender's orders apart.
+	// Number identifies the order at the sender.
 	Number uint64 `cbor:"Number"`
 
 	// Task corresponds to the JSON schema field "Task".
 	Task *Task `cbor:"Task,omitempty"`
 
-	// Transaction is the number of the Begin that opened it; zero outside one.
+	// Transaction is the number of the Begin order that opened the transaction; zero
+	// outside of one.
 	Transaction *uint64 `cbor:"Transaction,omitempty"`
 }
 
-// Pull asks for a part of the bundle by its digest, or for the manifest in force.
+// Pull requests a part of the bundle by its digest, or the current manifest.
 type Pull struct {
-	// Digest names a section; empty asks for the manifest.
+	// Digest is the digest of the part; empty for the manifest.
 	Digest string `cbor:"Digest"`
 }
 
-// Question asks a peer for its word on a group.
+// Question asks a peer about a group.
 type Question struct {
-	// About is what is asked: Reach, Stop, Suspicion, Complaint, Abstain or Facts.
+	// About is the kind of question: Reach, Stop, Suspicion, Complaint, Abstain or
+	// Facts.
 	About string `cbor:"About"`
 
-	// Group is the one asked about.
+	// Group is the group asked about.
 	Group string `cbor:"Group"`
 
-	// Number tells the sender's questions apart.
+	// Number identifies the question at the sender.
 	Number uint64 `cbor:"Number"`
 
-	// Target is its primary.
+	// Target is the primary of the group.
 	Target string `cbor:"Target"`
 
-	// Term is the primary's.
+	// Term is the term of the primary.
 	Term uint64 `cbor:"Term"`
 }
 
-// Refusal is why a statement got no answer of a target.
+// Refusal is the reason why a statement got no answer from a target.
 type Refusal struct {
-	// Kind is that of rosemary.Refusal.
+	// Kind is a rosemary.Kind.
 	Kind string `cbor:"Kind"`
 
-	// Message says what happened.
+	// Message describes what happened.
 	Message string `cbor:"Message"`
 
 	// Outcome tells whether the statement ran.
 	Outcome string `cbor:"Outcome"`
 
-	// Remedy says what to do.
+	// Remedy tells the caller what to do next.
 	Remedy string `cbor:"Remedy"`
 
-	// RetryAfterMs is when a retry is worthwhile.
+	// RetryAfterMs is the time to wait before a retry.
 	RetryAfterMs *uint64 `cbor:"RetryAfterMs,omitempty"`
 }
 
 // Reply answers a Question.
 type Reply struct {
-	// Facts answer a Question about Facts.
+	// Facts is the answer to a Question about Facts.
 	Facts []Fact `cbor:"Facts,omitempty"`
 
-	// Known is set when the peer knows enough to say.
+	// Known is set if the peer has enough information to answer.
 	Known bool `cbor:"Known"`
 
-	// Number is that of the Question.
+	// Number is the number of the Question.
 	Number uint64 `cbor:"Number"`
 
-	// Yes is the peer's word.
+	// Yes is the peer's answer.
 	Yes bool `cbor:"Yes"`
 }
 
 // Result answers an Order.
 type Result struct {
-	// Block is the state of the session after it.
+	// Block is the rosemary.TransactionState of the session after the statement.
 	Block *uint64 `cbor:"Block,omitempty"`
 
-	// Code is the target's own word for a failure.
+	// Code is the target's error code.
 	Code *string `cbor:"Code,omitempty"`
 
-	// Digest is the target's; empty for a failure.
+	// Digest is the digest returned by the target; empty on failure.
 	Digest *string `cbor:"Digest,omitempty"`
 
-	// Failure is that of rosemary.Failure.
+	// Failure is a rosemary.Failure.
 	Failure *uint64 `cbor:"Failure,omitempty"`
 
-	// FloorOffset is that of the session's last acknowledged write.
+	// FloorOffset is the offset of the session's last acknowledged write.
 	FloorOffset *uint64 `cbor:"FloorOffset,omitempty"`
 
-	// FloorTerm is that of the session's last acknowledged write.
+	// FloorTerm is the log term of the session's last acknowledged write.
 	FloorTerm *uint64 `cbor:"FloorTerm,omitempty"`
 
-	// Message is the target's own.
+	// Message is the target's error message.
 	Message *string `cbor:"Message,omitempty"`
 
-	// Number is that of the Order.
+	// Number is the number of the Order.
 	Number uint64 `cbor:"Number"`
 
-	// Open is set while the transaction stays on its target.
+	// Open is set while the transaction is open at its target.
 	Open *bool `cbor:"Open,omitempty"`
 
-	// Primary is set if that led its group.
+	// Primary is set if that target was the primary of its group.
 	Primary *bool `cbor:"Primary,omitempty"`
 
 	// Refusal corresponds to the JSON schema field "Refusal".
 	Refusal *Refusal `cbor:"Refusal,omitempty"`
 
-	// Rows are the target's.
+	// Rows are the rows returned by the target.
 	Rows []string `cbor:"Rows,omitempty"`
 
-	// Target is the one that ran the statement.
+	// Target is the target that ran the statement.
 	Target *string `cbor:"Target,omitempty"`
 
-	// Uncertain is set when the outcome of a write is unknown.
+	// Uncertain is set if the outcome of a write is unknown.
 	Uncertain *bool `cbor:"Uncertain,omitempty"`
 }
 
 // Statement is one request of a session.
 type Statement struct {
-	// ID is the caller's.
+	// ID is the caller's identifier of the request.
 	ID *string `cbor:"ID,omitempty"`
 
-	// Kind is that of rosemary.StatementKind.
+	// Kind is a rosemary.StatementKind.
 	Kind uint64 `cbor:"Kind"`
 
-	// Name is that of a prepared statement.
+	// Name is the name of a setting or of a prepared statement.
 	Name *string `cbor:"Name,omitempty"`
 
-	// Payload is passed on unchanged.
+	// Payload is forwarded unchanged.
 	Payload *string `cbor:"Payload,omitempty"`
 
-	// Writes is set for a write.
+	// Writes is set for a write and for preparing one.
 	Writes *bool `cbor:"Writes,omitempty"`
 }
 
-// Task is a statement with what its session decides about it.
+// Task is a statement with the session state needed to run it.
 type Task struct {
-	// AimMs is the time left until the answer should be there.
+	// AimMs is the time left until the route's latency objective.
 	AimMs int64 `cbor:"AimMs"`
 
-	// Class names the route's class.
+	// Class is the name of the route's class.
 	Class string `cbor:"Class"`
 
-	// DeadlineMs is the time left until an answer is of no more use.
+	// DeadlineMs is the time left until the deadline of the request.
 	DeadlineMs int64 `cbor:"DeadlineMs"`
 
-	// FloorOffset is that of the session's last acknowledged write.
+	// FloorOffset is the offset of the session's last acknowledged write.
 	FloorOffset *uint64 `cbor:"FloorOffset,omitempty"`
 
-	// FloorTerm is that of the session's last acknowledged write.
+	// FloorTerm is the log term of the session's last acknowledged write.
 	FloorTerm *uint64 `cbor:"FloorTerm,omitempty"`
 
-	// Group is the one whose targets run it.
+	// Group is the group whose targets run the statement.
 	Group string `cbor:"Group"`
 
-	// MaxAgeMs is the greatest age of data that a read accepts.
+	// MaxAgeMs is the maximum staleness that a read accepts.
 	MaxAgeMs *uint64 `cbor:"MaxAgeMs,omitempty"`
 
-	// OwnWrites is set where reads see the session's own writes.
+	// OwnWrites is set if reads must see the session's own writes.
 	OwnWrites *bool `cbor:"OwnWrites,omitempty"`
 
-	// Owner tells the sender's sessions apart.
+	// Owner identifies the session at the sender.
 	Owner uint64 `cbor:"Owner"`
 
 	// Prepared corresponds to the JSON schema field "Prepared".
 	Prepared *Statement `cbor:"Prepared,omitempty"`
 
-	// Priority orders waiting statements; zero goes first.
+	// Priority orders queued statements; zero is the highest.
 	Priority *uint64 `cbor:"Priority,omitempty"`
 
-	// ReadOnly is set in a transaction that only reads.
+	// ReadOnly is set in a read-only transaction.
 	ReadOnly *bool `cbor:"ReadOnly,omitempty"`
 
 	// Statement corresponds to the JSON schema field "Statement".
 	Statement Statement `cbor:"Statement"`
 
-	// Uncertain is set once the outcome of one of its writes is unknown.
+	// Uncertain is set if the outcome of one of the session's writes is unknown.
 	Uncertain *bool `cbor:"Uncertain,omitempty"`
 
-	// Values are the session's.
+	// Values are the settings of the session.
 	Values []Value `cbor:"Values,omitempty"`
 }
 
-// Value is one of a session's settings.
+// Value is a setting of a session.
 type Value struct {
-	// Name is what it is set for.
+	// Name is the name of the setting.
 	Name string `cbor:"Name"`
 
-	// Text is what it is set to.
+	// Text is the value of the setting.
 	Text string `cbor:"Text"`
 }
