--- a/pkg/roseclock/boot.go
+++ b/pkg/roseclock/boot.go
@@ -6,23 +6,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time by which ages and permissions are judged.
+// Clock is the time source for the age of data and the expiry of permissions.
 type Clock interface {
 	Now() time.Time
 }
 
-// Runtime is the runtime's clock, which tests pause and advance. It may stand
-// still while the VM is suspended.
+// Runtime is the clock of the Go runtime, which tests can control with
+// testing/synctest. It may stop while the VM is suspended.
 type Runtime struct{}
 
-// Now returns the runtime's time.
+// Now returns the current time of the runtime's clock.
 func (Runtime) Now() time.Time { return time.Now() }
 
-// BootTime counts from the VM's start and goes on while the VM is suspended. The
-// times that it returns are comparable with each other alone.
+// BootTime measures the time since the VM's start, including time for which the
+// VM was suspended. Its times are only comparable with each other.
 type BootTime struct{}
 
-// Now returns the time since the VM's start.
+// Now returns the time since the VM's start as an offset from the Unix epoch.
 func (BootTime) Now() time.Time {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/pkg/roseclock/sleep.go
+++ b/pkg/roseclock/sleep.go
@@ -1,4 +1,4 @@
-// Package roseclock holds waits on the runtime's clock that end early.
+// Package roseclock provides clocks and an interruptible sleep.
 package roseclock
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d and reports true, or false when ctx ended first.
+// Sleep waits for d. It returns false if ctx was done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/pkg/roselog/writer.go
+++ b/pkg/roselog/writer.go
@@ -1,5 +1,5 @@
-// Package roselog keeps the log bounded: lines wait in a buffer for an output
-// that may be slow, and what doesn't fit is counted instead of waited for.
+// Package roselog provides non-blocking log output. Lines are buffered while
+// the output is slow; lines that exceed the buffer are dropped and counted.
 package roselog
 
 import (
@@ -10,37 +10,38 @@
 	"github.com/gravitational/trace"
 )
 
-// maxWaiting bounds the lines that wait for the output, in bytes.
-const maxWaiting = 256 << 10
+// maxPendingBytes is the size limit of the buffered lines.
+const maxPendingBytes = 256 << 10
 
-// Writer passes lines on to an output without ever blocking who logs.
+// Writer writes lines to an output without blocking the callers of Write.
 type Writer struct {
 	output io.Writer
 	wake   chan struct{}
 
-	mu      sync.Mutex
-	waiting []byte
-	dropped uint64
-	total   uint64
-	idle    *sync.Cond
-	writing bool
+	mu           sync.Mutex
+	pending      []byte
+	unreported   uint64
+	droppedTotal uint64
+	idle         *sync.Cond
+	writing      bool
 }
 
-// NewWriter returns a writer; Run passes the lines on.
+// NewWriter returns a writer that buffers lines until Run writes them.
 func NewWriter(output io.Writer) *Writer {
 	w := &Writer{output: output, wake: make(chan struct{}, 1)}
 	w.idle = sync.NewCond(&w.mu)
 	return w
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write buffers one line, or drops it if the buffer is full. It never blocks
+// and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.waiting)+len(line) > maxWaiting {
-		w.dropped++
-		w.total++
+	if len(w.pending)+len(line) > maxPendingBytes {
+		w.unreported++
+		w.droppedTotal++
 	} else {
-		w.waiting = append(w.waiting, line...)
+		w.pending = append(w.pending, line...)
 	}
 	w.mu.Unlock()
 	select {
@@ -50,14 +51,14 @@
 	return len(line), nil
 }
 
-// Run passes lines on for good.
+// Run writes buffered lines to the output. It never returns.
 func (w *Writer) Run() {
 	var spare []byte
 	for range w.wake {
 		w.mu.Lock()
-		lines := w.waiting
-		dropped := w.dropped
-		w.waiting, w.dropped, w.writing = spare[:0], 0, true
+		lines := w.pending
+		dropped := w.unreported
+		w.pending, w.unreported, w.writing = spare[:0], 0, true
 		w.mu.Unlock()
 		if dropped > 0 {
 			lines = fmt.Appendf(lines, "log lines left out: count=%d\n", dropped)
@@ -71,23 +72,23 @@
 	}
 }
 
-// Flush waits until all lines were passed on.
+// Flush waits until all buffered lines have been written.
 func (w *Writer) Flush() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for len(w.waiting) > 0 || w.writing {
+	for len(w.pending) > 0 || w.writing {
 		w.idle.Wait()
 	}
 }
 
-// Dropped returns the number of lines left out so far.
+// Dropped returns the total number of dropped lines.
 func (w *Writer) Dropped() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.total
+	return w.droppedTotal
 }
 
-// Err is an error as a log line shows it: its message without a stack.
+// Err formats an error for a log line: its message without the stack trace.
 func Err(err error) string {
 	if err == nil {
 		return ""
