--- a/pkg/rosesupervisor/decide.go
+++ b/pkg/rosesupervisor/decide.go
@@ -1,8 +1,9 @@
-// Package rosesupervisor keeps a database group led: it decides when a primary
-// has to be replaced, fences and promotes, and brings stray targets back. Any
-// number of supervisors may act on one group at once: the fences at the
-// targets alone keep writes safe, and a supervisor that dies half-way leaves
-// nothing that another can't finish.
+// Package rosesupervisor performs failover and switchover for database groups:
+// it decides when a primary has to be replaced, fences targets, promotes a
+// successor and makes the other targets follow it. Any number of supervisors
+// may act on one group at once: safety of writes depends only on the fences at
+// the targets, and another supervisor can complete an attempt whose supervisor
+// died half-way.
 package rosesupervisor
 
 import (
@@ -12,81 +13,85 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Action is what a group lacks.
+// Action is what a group requires from its supervisor.
 type Action int
 
-// Needs of a group.
+// Actions of a supervisor.
 const (
-	// NeedNothing is a led group whose targets all follow.
+	// ActionNone is for a group whose targets all follow its primary, or one
+	// about which too little is known to act.
 	ActionNone Action = iota
-	// NeedFollow is a target that doesn't follow the primary.
+	// ActionFollow is for a target that doesn't follow the primary.
 	ActionFollow
-	// NeedMove is a primary that is leaving.
+	// ActionSwitchover is for a primary that is leaving.
 	ActionSwitchover
-	// NeedPrimary is a group whose primary is gone.
+	// ActionFailover is for a group without a working primary.
 	ActionFailover
-	// NeedReunion is a group whose primary answers, but no longer reaches
-	// the targets that it needs to confirm a write.
+	// ActionReplaceIsolated is for a primary that answers, but no longer
+	// reaches the targets that it needs to confirm a write, or that many
+	// proxies can't reach.
 	ActionReplaceIsolated
 )
 
-var needNames = []string{"nothing", "follow", "move", "primary", "reunion"}
+// actionNames are the values of the log field "need".
+var actionNames = []string{"nothing", "follow", "move", "primary", "replace isolated"}
 
-// String names the need.
-func (n Action) String() string { return needNames[n] }
+// String returns the value of the log field "need".
+func (a Action) String() string { return actionNames[a] }
 
-// Delays before a need is acted on, so that a passing state isn't.
+// How long a condition has to persist before it is acted on, so that
+// transient states are ignored.
 const (
-	followAfter  = 100 * time.Millisecond
-	moveAfter    = 500 * time.Millisecond
-	reunionAfter = time.Second
-	orphanAfter  = 200 * time.Millisecond
+	followDelay     = 100 * time.Millisecond
+	switchoverDelay = 500 * time.Millisecond
+	isolatedDelay   = time.Second
+	noPrimaryDelay  = 200 * time.Millisecond
 )
 
-// Assess returns what the group lacks, and how long that has to last before
-// it is acted on. Replicas are the witnesses: a primary is given up only when
-// so many of them say that its log no longer reaches them that it can't
-// confirm a write any more.
+// Assess returns the action that the group requires, and how long its reason
+// has to persist before it is taken. The replicas' reports decide: a primary
+// is replaced only when so many of them no longer receive its log that it
+// can't confirm a write any more.
 func Assess(group rosemary.Group, view rosegroup.View, leaving func(rosemary.TargetID) bool) (Action, time.Duration) {
-	cutOff, followers := witnesses(view)
-	enough := cutOff >= group.FenceQuorum()
+	notStreaming, anyStreaming := countNotStreaming(view)
+	tooFewStreaming := notStreaming >= group.FenceQuorum()
 	switch {
-	case !view.HasPrimary && view.Term > 0 && reachable(view) >= group.FenceQuorum():
-		return ActionFailover, orphanAfter
+	case !view.HasPrimary && view.Term > 0 && countReachable(view) >= group.FenceQuorum():
+		return ActionFailover, noPrimaryDelay
 	case !view.HasPrimary:
 		return ActionNone, 0
-	case view.Primary.Reachability.Failures > 0 && enough && !followers:
+	case view.Primary.Reachability.Failures > 0 && tooFewStreaming && !anyStreaming:
 		return ActionFailover, 0
 	case view.Primary.Reachability.Down():
 		return ActionNone, 0
-	case enough && !followers:
-		return ActionReplaceIsolated, reunionAfter
-	case stray(view):
-		return ActionFollow, followAfter
+	case tooFewStreaming && !anyStreaming:
+		return ActionReplaceIsolated, isolatedDelay
+	case anyNotFollowing(view):
+		return ActionFollow, followDelay
 	case leaving(view.Primary.ID) || view.Primary.Status.Leaving:
-		return ActionSwitchover, moveAfter
+		return ActionSwitchover, switchoverDelay
 	}
 	return ActionNone, 0
 }
 
-// witnesses counts the reachable targets beside the primary that its log
-// doesn't reach, and tells whether it reaches any.
-func witnesses(view rosegroup.View) (int, bool) {
-	cutOff, followers := 0, false
+// countNotStreaming counts the reachable targets other than the primary that
+// don't receive its log, and reports whether any target does.
+func countNotStreaming(view rosegroup.View) (int, bool) {
+	notStreaming, anyStreaming := 0, false
 	for _, t := range view.Targets {
 		if t.ID == view.Primary.ID || !t.Seen || t.Reachability.Down() {
 			continue
 		}
 		if t.Status.Streaming && t.Status.Role == rosemary.RoleReplica {
-			followers = true
+			anyStreaming = true
 		} else {
-			cutOff++
+			notStreaming++
 		}
 	}
-	return cutOff, followers
+	return notStreaming, anyStreaming
 }
 
-func reachable(view rosegroup.View) int {
+func countReachable(view rosegroup.View) int {
 	count := 0
 	for _, t := range view.Targets {
 		if t.Seen && !t.Reachability.Down() {
@@ -96,30 +101,31 @@
 	return count
 }
 
-// stray reports whether a reachable target doesn't follow the primary.
-func stray(view rosegroup.View) bool {
+// anyNotFollowing reports whether a reachable target doesn't follow the primary.
+func anyNotFollowing(view rosegroup.View) bool {
 	for _, t := range view.Targets {
-		if isStray(t, view) {
+		if isNotFollowing(t, view) {
 			return true
 		}
 	}
 	return false
 }
 
-func isStray(t rosegroup.TargetView, view rosegroup.View) bool {
+func isNotFollowing(t rosegroup.TargetView, view rosegroup.View) bool {
 	if !t.Seen || t.Reachability.Down() || t.ID == view.Primary.ID {
 		return false
 	}
-	s := t.Status
-	return s.Term < view.Term || s.Role != rosemary.RoleReplica || s.Primary != view.Primary.ID
+	status := t.Status
+	return status.Term < view.Term || status.Role != rosemary.RoleReplica || status.Primary != view.Primary.ID
 }
 
-// ChoosePrimary returns the fenced target to promote. It is the greatest of a set
-// large enough to hold every acknowledged write; avoid is passed over if
-// another one qualifies, and wanted goes before others that do.
-func ChoosePrimary(group rosemary.Group, fenced []rosemary.Status, avoid func(rosemary.TargetID) bool, wanted rosemary.TargetID) (rosemary.Status, bool) {
+// ChoosePrimary returns the fenced target to promote. A target qualifies if its
+// position is at or after those of a fence quorum, itself included: its log then
+// holds every acknowledged write. Among those that qualify, preferred comes
+// first and targets to avoid last; ties go to the greatest position.
+func ChoosePrimary(group rosemary.Group, fenced []rosemary.Status, avoid func(rosemary.TargetID) bool, preferred rosemary.TargetID) (rosemary.Status, bool) {
 	var best rosemary.Status
-	rank := -1
+	bestPriority := -1
 	for _, candidate := range fenced {
 		covered := 0
 		for _, other := range fenced {
@@ -130,15 +136,15 @@
 		if covered < group.FenceQuorum() {
 			continue
 		}
-		r := 1
+		priority := 1
 		if avoid(candidate.Target) {
-			r = 0
-		} else if candidate.Target == wanted {
-			r = 2
+			priority = 0
+		} else if candidate.Target == preferred {
+			priority = 2
 		}
-		if r > rank || r == rank && candidate.Position.Compare(best.Position) > 0 {
-			best, rank = candidate, r
+		if priority > bestPriority || priority == bestPriority && candidate.Position.Compare(best.Position) > 0 {
+			best, bestPriority = candidate, priority
 		}
 	}
-	return best, rank >= 0
+	return best, bestPriority >= 0
 }
--- a/pkg/rosesupervisor/duty.go
+++ b/pkg/rosesupervisor/duty.go
@@ -19,485 +19,495 @@
 )
 
 const (
-	// dutyLifetime is the time to live of a proxy's lease in the store. It
-	// outlasts most outages of the store, so that a holder can act in them;
-	// a dead holder's duties are taken over after it, or by its own restart.
-	dutyLifetime = 8 * time.Second
-	// dutyTick separates renewals.
-	dutyTick = 2 * time.Second
-	// urgentTick separates looks at vacant duties while a group lacks a
-	// primary, and looks at the members while an installation may be starting.
-	urgentTick = 300 * time.Millisecond
-	// formingTime is how long that may take.
-	formingTime = 3 * time.Second
-	// claimTick separates looks at whether this proxy's turn to claim a vacant
-	// duty has come; it is a fraction of takeoverPause and calls no store.
-	claimTick = 100 * time.Millisecond
-	// dutyRetry follows a renewal that failed.
-	dutyRetry = 200 * time.Millisecond
-	// dutyMargin is taken off the lifetime for a holder's own use: it stops
-	// before the store lets another in.
-	dutyMargin = 300 * time.Millisecond
-	// dutyCallTimeout bounds one call of a renewal.
-	dutyCallTimeout = 500 * time.Millisecond
-	// takeoverPause is how long each further proxy in the order of a group
-	// lets the ones before it go first.
-	takeoverPause = 400 * time.Millisecond
-	// avoidPause is how long a claim waits for the group's primary to be
-	// known, and with it the zone to avoid.
-	avoidPause = 1500 * time.Millisecond
-	// handOverAfter is how long a primary has to lead in a holder's own zone
-	// before the duty goes to another.
-	handOverAfter = 6 * time.Second
-	// abstainTime is how long a proxy that promised it claims no duty.
-	abstainTime = 2 * time.Second
-	// abstainMargin is taken off it for the holder's own use.
+	// leaseLifetime is the time to live of a proxy's lease in the store. It
+	// outlasts most outages of the store, so that a holder can fail over
+	// during them; the locks of a dead holder are taken over after it, or by
+	// the holder's own restart.
+	leaseLifetime = 8 * time.Second
+	renewInterval = 2 * time.Second
+	// urgentRenewInterval applies while a group lacks a primary, so that free
+	// locks are found sooner, and while the cluster may be starting, so that
+	// new members are.
+	urgentRenewInterval = 300 * time.Millisecond
+	// clusterStartTime is how long after its own start a proxy expects other
+	// members to be starting too.
+	clusterStartTime = 3 * time.Second
+	// claimCheckInterval is how often this proxy checks whether its turn to
+	// claim a free lock has come; it is a fraction of claimStagger, and a check
+	// makes no call to the store.
+	claimCheckInterval = 100 * time.Millisecond
+	renewRetryDelay    = 200 * time.Millisecond
+	// leaseMargin shortens the lifetime of the lease for its holder, which
+	// stops acting before the store lets another proxy claim its locks.
+	leaseMargin      = 300 * time.Millisecond
+	storeCallTimeout = 500 * time.Millisecond
+	// claimStagger is the additional delay of each further proxy in the order
+	// in which a free lock is claimed.
+	claimStagger = 400 * time.Millisecond
+	// unknownZoneDelay is how long a claim waits for the group's primary to be
+	// known, as proxies of its availability zone claim last.
+	unknownZoneDelay = 1500 * time.Millisecond
+	// handOverDelay is how long a primary has to be in the holder's own zone
+	// before the holder releases the lock to another proxy.
+	handOverDelay = 6 * time.Second
+	// abstainDuration is how long a proxy that has promised to abstain claims
+	// no lock.
+	abstainDuration = 2 * time.Second
+	// abstainMargin shortens abstainDuration for the holder, which stops acting
+	// before the promises end.
 	abstainMargin = 300 * time.Millisecond
-	// surveyTimeout bounds the wait for the promises of all.
-	surveyTimeout = 400 * time.Millisecond
-	// releaseTimeout bounds the return of the lease at a shutdown.
+	// abstainTimeout bounds the wait for the promises of all other proxies.
+	abstainTimeout = 400 * time.Millisecond
+	// releaseTimeout bounds the revocation of the lease at shutdown.
 	releaseTimeout = 500 * time.Millisecond
 )
 
 const (
 	memberPrefix = "Members/"
-	dutyPrefix   = "Duties/"
+	lockPrefix   = "Duties/"
 )
 
-// LockManagerConfig sets up a Duty.
+// LockManagerConfig configures a LockManager.
 type LockManagerConfig struct {
 	Store rosemary.KeyValue
-	// Clock counts suspended time.
+	// Clock has to advance while the VM is suspended.
 	Clock roseclock.Clock
 	Self  rosemary.Member
-	// Incarnation tells the starts of this proxy apart.
+	// Incarnation differs for each start of this proxy.
 	Incarnation string
 	// Prefix is put before every key.
 	Prefix string
-	// Groups lists the groups that need a holder.
+	// Groups lists the groups whose locks this proxy may claim.
 	Groups func() []string
-	// Peers asks the other proxies; nil for none.
+	// Peers is nil if there are no other proxies.
 	Peers Peers
-	// Avoid names the availability zone of a group's primary, and since when
-	// it is there: a holder elsewhere outlasts the loss of that zone. Empty
-	// means unknown.
+	// PrimaryZone returns the availability zone of a group's primary, and since
+	// when the primary is there; the zone is empty if unknown. Holders in other
+	// zones are preferred, as they survive the loss of that zone.
 	PrimaryZone func(group string) (rosemary.Zone, time.Time)
-	// Urgent reports whether a group lacks a primary.
+	// PrimaryMissing reports whether a group lacks a primary.
 	PrimaryMissing func() bool
 }
 
-// Peers asks the other proxies for their word.
+// Peers sends requests about locks to the other proxies.
 type Peers interface {
-	// Abstain asks all not to claim duties for abstainTime, and returns
-	// those that promised.
+	// Abstain asks all not to claim locks for abstainDuration, and returns
+	// those that promised it.
 	Abstain(ctx context.Context) []rosemary.ProxyID
 }
 
-// LockManager keeps this proxy registered, and holds for some groups the sole right
-// to replace their primary. The right is a key under the proxy's lease; its
-// generation is the store's revision at which it was taken, so a later holder
-// always has a greater one.
+// LockManager keeps this proxy registered in the store, and holds the failover
+// locks of some groups: only the holder may replace the primary. A lock is a
+// key under the proxy's lease. Its generation is the store's revision at which
+// it was claimed, so a later holder always has a greater one; it serves as a
+// fencing token. Log events and store keys call the lock a duty.
 type LockManager struct {
 	config LockManagerConfig
 
 	mu       sync.Mutex
 	lease    int64
 	lifetime time.Duration
-	// renewedAt is when the last renewal that succeeded was sent.
+	// renewedAt is when the last successful renewal was sent.
 	renewedAt time.Time
-	held      map[string]int64
-	members   []rosemary.Member
-	vacant    map[string]time.Time
-	// failing is set while renewals fail without the store's word.
-	failing bool
-	// promisedTill is until when every other proxy has promised to claim
-	// nothing, and abstainTill until when this one has.
-	promisedTill time.Time
-	abstainTill  time.Time
+	// held maps the groups whose locks are held to their generations.
+	held    map[string]int64
+	members []rosemary.Member
+	// freeSince is when the lock of a group was first seen to be free.
+	freeSince map[string]time.Time
+	// storeFailing is set while renewals fail without an answer that the lease
+	// has ended.
+	storeFailing bool
+	// peersAbstainUntil is until when every other proxy has promised to claim
+	// nothing, and abstainUntil until when this one has.
+	peersAbstainUntil time.Time
+	abstainUntil      time.Time
 }
 
-// claimRecord is the value of a duty's key.
-type claimRecord struct {
+// lockRecord is the stored value of a lock's key.
+type lockRecord struct {
 	Proxy       rosemary.ProxyID
 	Incarnation string
 }
 
-// memberRecord is the value of a member's key.
+// memberRecord is the stored value of a member's key.
 type memberRecord struct {
 	Zone    rosemary.Zone
 	Address string
 	Weight  int
 }
 
-// NewLockManager returns a duty that holds nothing; Run starts it.
+// NewLockManager returns a lock manager that holds nothing; Run starts it.
 func NewLockManager(config LockManagerConfig) *LockManager {
-	return &LockManager{config: config, held: make(map[string]int64), vacant: make(map[string]time.Time)}
+	return &LockManager{config: config, held: make(map[string]int64), freeSince: make(map[string]time.Time)}
 }
 
-// Run renews the lease and claims vacant duties until ctx ends, and then
-// returns what it holds.
-func (d *LockManager) Run(ctx context.Context) {
-	settled := d.config.Clock.Now().Add(formingTime)
+// Run renews the lease and claims free locks until ctx ends, and then revokes
+// the lease.
+func (l *LockManager) Run(ctx context.Context) {
+	startupUntil := l.config.Clock.Now().Add(clusterStartTime)
 	for ctx.Err() == nil {
-		pause := dutyTick
-		if d.config.PrimaryMissing() || d.config.Clock.Now().Before(settled) {
-			pause = urgentTick
+		delay := renewInterval
+		if l.config.PrimaryMissing() || l.config.Clock.Now().Before(startupUntil) {
+			delay = urgentRenewInterval
 		}
-		if !d.tick(ctx) {
-			d.ask(ctx)
-			pause = dutyRetry
+		if !l.refresh(ctx) {
+			l.requestAbstention(ctx)
+			delay = renewRetryDelay
 		}
-		d.rest(ctx, pause)
+		l.waitForRefresh(ctx, delay)
 	}
-	d.release()
+	l.release()
 }
 
-// rest lets a pause go by, or less if this proxy's turn to claim a vacant duty
-// comes sooner: the order of claims is finer than the renewals. A claim that
-// fails is not repeated before dutyRetry.
-func (d *LockManager) rest(ctx context.Context, pause time.Duration) {
-	until := d.config.Clock.Now().Add(pause)
-	roseclock.Sleep(ctx, min(pause, dutyRetry))
+// waitForRefresh waits for delay, or less if this proxy's turn to claim a free
+// lock comes sooner, as claims are staggered more finely than renewals. A failed
+// claim is not repeated before renewRetryDelay.
+func (l *LockManager) waitForRefresh(ctx context.Context, delay time.Duration) {
+	deadline := l.config.Clock.Now().Add(delay)
+	roseclock.Sleep(ctx, min(delay, renewRetryDelay))
 	for {
-		left := until.Sub(d.config.Clock.Now())
-		if left <= 0 || ctx.Err() != nil {
+		remaining := deadline.Sub(l.config.Clock.Now())
+		if remaining <= 0 || ctx.Err() != nil {
 			return
 		}
-		d.mu.Lock()
-		vacant := maps.Clone(d.vacant)
-		members := d.members
-		d.mu.Unlock()
-		for group, since := range vacant {
-			if d.config.Clock.Now().Sub(since) >= d.claimPause(group, members) {
+		l.mu.Lock()
+		free := maps.Clone(l.freeSince)
+		members := l.members
+		l.mu.Unlock()
+		for group, since := range free {
+			if l.config.Clock.Now().Sub(since) >= l.claimDelay(group, members) {
 				return
 			}
 		}
-		if len(vacant) > 0 {
-			left = min(left, claimTick)
+		if len(free) > 0 {
+			remaining = min(remaining, claimCheckInterval)
 		}
-		roseclock.Sleep(ctx, left)
+		roseclock.Sleep(ctx, remaining)
 	}
 }
 
-// release gives the duties and the registration back at once.
-func (d *LockManager) release() {
-	d.mu.Lock()
-	lease := d.lease
-	d.lease = 0
-	clear(d.held)
-	d.mu.Unlock()
+// release revokes the lease, which removes the locks and the registration.
+func (l *LockManager) release() {
+	l.mu.Lock()
+	lease := l.lease
+	l.lease = 0
+	clear(l.held)
+	l.mu.Unlock()
 	if lease == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if err := d.config.Store.RevokeLease(ctx, lease); err != nil {
+	if err := l.config.Store.RevokeLease(ctx, lease); err != nil {
 		klog.InfoS("lease not returned, it will expire", "lease", lease, "err", roselog.Err(err))
 	}
 }
 
-// tick renews the lease, and looks for vacant duties. It reports false when
-// the store did not answer.
-func (d *LockManager) tick(ctx context.Context) bool {
-	if !d.keepLease(ctx) {
+// refresh renews the lease, and claims free locks. It reports false when the
+// store did not answer.
+func (l *LockManager) refresh(ctx context.Context) bool {
+	if !l.ensureLease(ctx) {
 		return false
 	}
-	groups := d.config.Groups()
-	listing, cancel := context.WithTimeout(ctx, dutyCallTimeout)
-	// Who claims nothing needs the members alone, and a cheap list does.
-	items, _, err := d.config.Store.List(listing, d.config.Prefix, len(groups) == 0)
+	groups := l.config.Groups()
+	listing, cancel := context.WithTimeout(ctx, storeCallTimeout)
+	// Without locks to claim only the members are of interest, for which a
+	// stale list, which is cheaper, is sufficient.
+	items, _, err := l.config.Store.List(listing, l.config.Prefix, len(groups) == 0)
 	cancel()
 	if err != nil {
 		return false
 	}
-	claims := d.read(items)
+	locks := l.applyListing(items)
 	for _, group := range groups {
-		d.consider(ctx, group, claims[group])
+		l.considerClaim(ctx, group, locks[group])
 	}
 	return true
 }
 
-// ask has the other proxies promise to claim nothing while the store is out of
-// reach for all: a lease that has run out unseen then still has no successor.
-// Every proxy that was registered has to promise; one that reaches the store
-// doesn't.
-func (d *LockManager) ask(ctx context.Context) {
-	d.mu.Lock()
-	needed := d.config.Peers != nil && d.failing && len(d.held) > 0
-	members := d.members
-	d.mu.Unlock()
-	if !needed {
+// requestAbstention has the other proxies promise to claim nothing while none of
+// them reaches the store: even if the lease expires there unnoticed, no other
+// proxy then takes over its locks. Every registered proxy has to promise; one
+// that reaches the store refuses.
+func (l *LockManager) requestAbstention(ctx context.Context) {
+	l.mu.Lock()
+	required := l.config.Peers != nil && l.storeFailing && len(l.held) > 0
+	members := l.members
+	l.mu.Unlock()
+	if !required {
 		return
 	}
-	askedAt := d.config.Clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
+	sentAt := l.config.Clock.Now()
+	ctx, cancel := context.WithTimeout(ctx, abstainTimeout)
 	defer cancel()
-	promised := d.config.Peers.Abstain(ctx)
+	promised := l.config.Peers.Abstain(ctx)
 	for _, m := range members {
-		if m.Proxy != d.config.Self.Proxy && !slices.Contains(promised, m.Proxy) {
+		if m.Proxy != l.config.Self.Proxy && !slices.Contains(promised, m.Proxy) {
 			klog.V(1).InfoS("duty not extended", "withoutThePromiseOf", m.Proxy)
 			return
 		}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.promisedTill = askedAt.Add(abstainTime - abstainMargin)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.peersAbstainUntil = sentAt.Add(abstainDuration - abstainMargin)
 }
 
-// Abstain promises to claim no duty for a while, if this proxy can't reach the
-// store either and holds none.
-func (d *LockManager) Abstain() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.failing {
+// Abstain promises to claim no lock for abstainDuration, if this proxy can't
+// reach the store.
+func (l *LockManager) Abstain() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.storeFailing {
 		return false
 	}
-	d.abstainTill = d.config.Clock.Now().Add(abstainTime)
+	l.abstainUntil = l.config.Clock.Now().Add(abstainDuration)
 	return true
 }
 
-// keepLease renews the lease, or gets one, and reports whether there is one.
-func (d *LockManager) keepLease(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, dutyCallTimeout)
+// ensureLease renews the lease, or gets a new one if there is none or it has
+// ended. It reports whether this succeeded.
+func (l *LockManager) ensureLease(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	d.mu.Lock()
-	lease := d.lease
-	d.mu.Unlock()
-	sentAt := d.config.Clock.Now()
+	l.mu.Lock()
+	lease := l.lease
+	l.mu.Unlock()
+	sentAt := l.config.Clock.Now()
 	if lease != 0 {
-		err := d.config.Store.RenewLease(ctx, lease)
+		err := l.config.Store.RenewLease(ctx, lease)
 		switch {
 		case err == nil:
-			d.mu.Lock()
-			d.renewedAt = sentAt
-			d.failing = false
-			d.mu.Unlock()
+			l.mu.Lock()
+			l.renewedAt = sentAt
+			l.storeFailing = false
+			l.mu.Unlock()
 			return true
 		case !trace.IsNotFound(err):
-			d.fail(lease, err)
+			l.recordStoreFailure(lease, err)
 			return false
 		}
-		d.mu.Lock()
-		klog.InfoS("lease ended, duties lost", "lease", lease, "duties", len(d.held))
-		d.lease, d.failing = 0, false
-		clear(d.held)
-		d.mu.Unlock()
+		l.mu.Lock()
+		klog.InfoS("lease ended, duties lost", "lease", lease, "duties", len(l.held))
+		l.lease, l.storeFailing = 0, false
+		clear(l.held)
+		l.mu.Unlock()
 	}
-	return d.register(ctx)
+	return l.register(ctx)
 }
 
-// fail records that the store did not renew the lease, nor end it.
-func (d *LockManager) fail(lease int64, err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.failing {
-		klog.InfoS("store lost", "for", "lease", "lease", lease, "duties", len(d.held), "err", roselog.Err(err))
+// recordStoreFailure records that the store neither renewed nor ended the lease.
+func (l *LockManager) recordStoreFailure(lease int64, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.storeFailing {
+		klog.InfoS("store lost", "for", "lease", "lease", lease, "duties", len(l.held), "err", roselog.Err(err))
 	}
-	d.failing = true
+	l.storeFailing = true
 }
 
-// register gets a lease and writes this proxy's member key.
-func (d *LockManager) register(ctx context.Context) bool {
-	sentAt := d.config.Clock.Now()
-	lease, lifetime, err := d.config.Store.GrantLease(ctx, dutyLifetime)
+// register gets a lease and writes this proxy's member key under it.
+func (l *LockManager) register(ctx context.Context) bool {
+	sentAt := l.config.Clock.Now()
+	lease, lifetime, err := l.config.Store.GrantLease(ctx, leaseLifetime)
 	if err != nil {
-		d.fail(0, err)
+		l.recordStoreFailure(0, err)
 		return false
 	}
 	value, err := json.Marshal(memberRecord{
-		Zone: d.config.Self.Zone, Address: d.config.Self.Address, Weight: d.config.Self.Weight,
+		Zone: l.config.Self.Zone, Address: l.config.Self.Address, Weight: l.config.Self.Weight,
 	})
 	if err != nil {
 		return false
 	}
-	_, err = d.config.Store.Apply(ctx, rosemary.Change{Writes: []rosemary.Item{{
-		Key: d.config.Prefix + memberPrefix + string(d.config.Self.Proxy), Value: value, Lease: lease,
+	_, err = l.config.Store.Apply(ctx, rosemary.Change{Writes: []rosemary.Item{{
+		Key: l.config.Prefix + memberPrefix + string(l.config.Self.Proxy), Value: value, Lease: lease,
 	}}})
 	if err != nil {
-		d.fail(lease, err)
+		l.recordStoreFailure(lease, err)
 		return false
 	}
-	klog.InfoS("registered", "proxy", d.config.Self.Proxy, "lease", lease, "lifetime", lifetime)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.lease, d.lifetime, d.renewedAt, d.failing = lease, lifetime, sentAt, false
+	klog.InfoS("registered", "proxy", l.config.Self.Proxy, "lease", lease, "lifetime", lifetime)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lease, l.lifetime, l.renewedAt, l.storeFailing = lease, lifetime, sentAt, false
 	return true
 }
 
-// read takes in the members, and returns the claims by group.
-func (d *LockManager) read(items []rosemary.Item) map[string]rosemary.Item {
-	claims := make(map[string]rosemary.Item)
+// applyListing replaces the members known, and returns the lock keys by group.
+func (l *LockManager) applyListing(items []rosemary.Item) map[string]rosemary.Item {
+	locks := make(map[string]rosemary.Item)
 	var members []rosemary.Member
 	for _, item := range items {
-		key := strings.TrimPrefix(item.Key, d.config.Prefix)
-		if group, ok := strings.CutPrefix(key, dutyPrefix); ok {
-			claims[group] = item
+		key := strings.TrimPrefix(item.Key, l.config.Prefix)
+		if group, ok := strings.CutPrefix(key, lockPrefix); ok {
+			locks[group] = item
 			continue
 		}
 		name, ok := strings.CutPrefix(key, memberPrefix)
-		var record memberRecord
-		if !ok || json.Unmarshal(item.Value, &record) != nil {
+		var member memberRecord
+		if !ok || json.Unmarshal(item.Value, &member) != nil {
 			continue
 		}
 		members = append(members, rosemary.Member{
-			Proxy: rosemary.ProxyID(name), Zone: record.Zone, Address: record.Address, Weight: record.Weight,
+			Proxy: rosemary.ProxyID(name), Zone: member.Zone, Address: member.Address, Weight: member.Weight,
 		})
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.members = members
-	return claims
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.members = members
+	return locks
 }
 
-// Registered reports whether the store holds this proxy's lease for certain.
-func (d *LockManager) Registered() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.lease != 0 && d.config.Clock.Now().Before(d.renewedAt.Add(d.lifetime-dutyMargin))
+// Registered reports whether this proxy's lease is certain to be in force.
+func (l *LockManager) Registered() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lease != 0 && l.config.Clock.Now().Before(l.renewedAt.Add(l.lifetime-leaseMargin))
 }
 
-// ReadMembers reads the proxies that are registered now.
-func (d *LockManager) ReadMembers(ctx context.Context) ([]rosemary.Member, error) {
-	items, _, err := d.config.Store.List(ctx, d.config.Prefix+memberPrefix, false)
+// ReadMembers reads the registered proxies from the store.
+func (l *LockManager) ReadMembers(ctx context.Context) ([]rosemary.Member, error) {
+	items, _, err := l.config.Store.List(ctx, l.config.Prefix+memberPrefix, false)
 	if err != nil {
 		return nil, err
 	}
-	d.read(items)
-	return d.Members(), nil
+	l.applyListing(items)
+	return l.Members(), nil
 }
 
-// Members returns the registered proxies, this one included once it is.
-func (d *LockManager) Members() []rosemary.Member {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.members
+// Members returns the registered proxies as last read from the store; this
+// proxy is among them once it has registered.
+func (l *LockManager) Members() []rosemary.Member {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.members
 }
 
-// consider claims the duty of a group that nobody holds, or that an earlier
-// start of this proxy held.
-func (d *LockManager) consider(ctx context.Context, group string, item rosemary.Item) {
-	d.mu.Lock()
-	generation, mine := d.held[group]
-	members := d.members
-	lease := d.lease
-	if mine {
-		delete(d.vacant, group)
-		d.mu.Unlock()
+// considerClaim claims a group's lock if it is free and this proxy's turn has
+// come, or if an earlier incarnation of this proxy holds it.
+func (l *LockManager) considerClaim(ctx context.Context, group string, item rosemary.Item) {
+	l.mu.Lock()
+	generation, held := l.held[group]
+	members := l.members
+	lease := l.lease
+	if held {
+		delete(l.freeSince, group)
+		l.mu.Unlock()
 		if item.Revision == generation {
-			d.handOver(ctx, group, generation)
+			l.handOver(ctx, group, generation)
 		}
 		return
 	}
-	var holder claimRecord
-	if item.Revision != 0 && json.Unmarshal(item.Value, &holder) == nil && holder.Proxy != d.config.Self.Proxy {
-		delete(d.vacant, group)
-		d.mu.Unlock()
+	var holder lockRecord
+	if item.Revision != 0 && json.Unmarshal(item.Value, &holder) == nil && holder.Proxy != l.config.Self.Proxy {
+		delete(l.freeSince, group)
+		l.mu.Unlock()
 		return
 	}
-	now := d.config.Clock.Now()
-	if now.Before(d.abstainTill) {
-		d.mu.Unlock()
+	now := l.config.Clock.Now()
+	if now.Before(l.abstainUntil) {
+		l.mu.Unlock()
 		return
 	}
-	since, known := d.vacant[group]
-	if !known {
+	since, seen := l.freeSince[group]
+	if !seen {
 		since = now
-		d.vacant[group] = now
+		l.freeSince[group] = now
 	}
-	d.mu.Unlock()
-	if item.Revision == 0 && now.Sub(since) < d.claimPause(group, members) {
+	l.mu.Unlock()
+	if item.Revision == 0 && now.Sub(since) < l.claimDelay(group, members) {
 		return
 	}
-	d.claim(ctx, group, item.Revision, lease)
+	l.claim(ctx, group, item.Revision, lease)
 }
 
-// claimPause is how long this proxy leaves a vacant duty to others.
-func (d *LockManager) claimPause(group string, members []rosemary.Member) time.Duration {
-	pause := time.Duration(d.rank(group, members)) * takeoverPause
-	if zone, _ := d.config.PrimaryZone(group); zone == "" {
-		pause += avoidPause
+// claimDelay returns how long this proxy leaves a free lock to others.
+func (l *LockManager) claimDelay(group string, members []rosemary.Member) time.Duration {
+	delay := time.Duration(l.claimRank(group, members)) * claimStagger
+	if zone, _ := l.config.PrimaryZone(group); zone == "" {
+		delay += unknownZoneDelay
 	}
-	return pause
+	return delay
 }
 
-// rank is this proxy's place in the order in which a group's duty is claimed.
-// Proxies in the zone of its primary come last.
-func (d *LockManager) rank(group string, members []rosemary.Member) int {
-	zone, _ := d.config.PrimaryZone(group)
-	var before []rosemary.Member
-	elsewhere := 0
+// claimRank returns this proxy's place in the order in which proxies claim a
+// group's lock. Those in the zone of its primary come last.
+func (l *LockManager) claimRank(group string, members []rosemary.Member) int {
+	zone, _ := l.config.PrimaryZone(group)
+	var candidates []rosemary.Member
+	earlier := 0
 	for _, m := range members {
-		if (m.Zone == zone) == (d.config.Self.Zone == zone) {
-			before = append(before, m)
+		if (m.Zone == zone) == (l.config.Self.Zone == zone) {
+			candidates = append(candidates, m)
 		} else if m.Zone != zone {
-			elsewhere++
+			earlier++
 		}
 	}
-	return elsewhere + rosepeer.RendezvousRank("supervise/"+group, before, d.config.Self.Proxy)
+	return earlier + rosepeer.RendezvousRank("supervise/"+group, candidates, l.config.Self.Proxy)
 }
 
-// handOver gives a duty back if its group's primary has long been in this
-// proxy's own zone and another proxy isn't.
-func (d *LockManager) handOver(ctx context.Context, group string, generation int64) {
-	zone, since := d.config.PrimaryZone(group)
-	settled := zone == d.config.Self.Zone && d.config.Clock.Now().Sub(since) > handOverAfter
-	elsewhere := slices.ContainsFunc(d.Members(), func(m rosemary.Member) bool { return m.Zone != zone })
-	if !settled || !elsewhere {
+// handOver releases a lock if the group's primary has been in this proxy's own
+// zone for handOverDelay, and there are proxies in other zones to claim it.
+func (l *LockManager) handOver(ctx context.Context, group string, generation int64) {
+	zone, since := l.config.PrimaryZone(group)
+	settled := zone == l.config.Self.Zone && l.config.Clock.Now().Sub(since) > handOverDelay
+	otherZones := slices.ContainsFunc(l.Members(), func(m rosemary.Member) bool { return m.Zone != zone })
+	if !settled || !otherZones {
 		return
 	}
-	d.mu.Lock()
-	delete(d.held, group)
-	d.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, dutyCallTimeout)
+	l.mu.Lock()
+	delete(l.held, group)
+	l.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	key := d.config.Prefix + dutyPrefix + group
-	_, err := d.config.Store.Apply(ctx, rosemary.Change{
+	key := l.config.Prefix + lockPrefix + group
+	_, err := l.config.Store.Apply(ctx, rosemary.Change{
 		Preconditions: []rosemary.Precondition{{Key: key, Revision: generation}},
 		Deletes:       []string{key},
 	})
 	klog.InfoS("duty handed over", "group", group, "generation", generation, "zone", zone, "err", roselog.Err(err))
 }
 
-// claim takes a duty whose key is at revision.
-func (d *LockManager) claim(ctx context.Context, group string, revision, lease int64) {
-	ctx, cancel := context.WithTimeout(ctx, 2*dutyCallTimeout)
+// claim takes a lock whose key is at revision; zero means that it is free.
+func (l *LockManager) claim(ctx context.Context, group string, revision, lease int64) {
+	ctx, cancel := context.WithTimeout(ctx, 2*storeCallTimeout)
 	defer cancel()
-	key := d.config.Prefix + dutyPrefix + group
-	value, err := json.Marshal(claimRecord{Proxy: d.config.Self.Proxy, Incarnation: d.config.Incarnation})
+	key := l.config.Prefix + lockPrefix + group
+	value, err := json.Marshal(lockRecord{Proxy: l.config.Self.Proxy, Incarnation: l.config.Incarnation})
 	if err != nil {
 		return
 	}
-	generation, err := d.config.Store.Apply(ctx, rosemary.Change{
+	generation, err := l.config.Store.Apply(ctx, rosemary.Change{
 		Preconditions: []rosemary.Precondition{{Key: key, Revision: revision}},
 		Writes:        []rosemary.Item{{Key: key, Value: value, Lease: lease}},
 	})
 	if err != nil {
-		// A change without an answer may have taken effect.
-		item, readErr := d.config.Store.Read(ctx, key)
+		// A change that got no answer may have taken effect.
+		item, readErr := l.config.Store.Read(ctx, key)
 		if readErr != nil || string(item.Value) != string(value) || item.Lease != lease {
 			klog.V(1).InfoS("duty not claimed", "group", group, "err", roselog.Err(err))
 			return
 		}
 		generation = item.Revision
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.lease != lease {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.lease != lease {
 		return
 	}
-	d.held[group] = generation
+	l.held[group] = generation
 	klog.InfoS("duty claimed", "group", group, "generation", generation, "lease", lease)
 }
 
-// Holds returns the generation under which this proxy may replace the primary
-// of a group now, and until when.
-func (d *LockManager) Holds(group string) (int64, time.Time, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	generation, held := d.held[group]
-	until := d.renewedAt.Add(d.lifetime - dutyMargin)
-	if d.failing && d.promisedTill.After(until) {
-		until = d.promisedTill
+// Holds reports whether this proxy may replace the primary of a group now, under
+// which generation of the lock, and until when.
+func (l *LockManager) Holds(group string) (int64, time.Time, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	generation, held := l.held[group]
+	until := l.renewedAt.Add(l.lifetime - leaseMargin)
+	if l.storeFailing && l.peersAbstainUntil.After(until) {
+		until = l.peersAbstainUntil
 	}
-	return generation, until, held && d.config.Clock.Now().Before(until)
+	return generation, until, held && l.config.Clock.Now().Before(until)
 }
--- a/pkg/rosesupervisor/explore_test.go
+++ b/pkg/rosesupervisor/explore_test.go
@@ -12,10 +12,11 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesupervisor"
 )
 
-// The exploration runs every interleaving, within its bounds, of two
-// supervisors that may stop at any step, a writer, replication and an observer
-// whose samples may be stale, over a model of three targets. What decides is
-// the real code: Choose for promotions, Facts for acknowledgements.
+// These tests are a bounded model check. They explore every interleaving, up to
+// a number of states, of two supervisors that may stop at any step, a writer,
+// replication and an observer whose samples may be stale, over a model of three
+// targets. Decisions are made by the production code: ChoosePrimary for
+// promotions, rosegroup.Observations for acknowledgements.
 
 const (
 	exploreTargets = 3
@@ -23,8 +24,8 @@
 	exploreTerms   = 3
 )
 
-// modelTarget is a target's state; log holds a term and a write for each
-// record, write zero for the start of a term.
+// modelTarget is a target's state; log holds the term and the number of the
+// write for each record, with number zero for the start of a term.
 type modelTarget struct {
 	term     uint64
 	proposer int
@@ -36,59 +37,58 @@
 
 // modelSupervisor is one attempt at a promotion.
 type modelSupervisor struct {
-	term   uint64
-	fenced [exploreTargets]bool
-	seen   [exploreTargets]rosemary.Position
-	chosen int
-	done   bool
+	term            uint64
+	fenced          [exploreTargets]bool
+	fencedPositions [exploreTargets]rosemary.Position
+	chosen          int
+	done            bool
 }
 
-// modelState is everything but the observer.
+// modelState is the state of all parties but the observer.
 type modelState struct {
 	targets     [exploreTargets]modelTarget
 	supervisors [2]modelSupervisor
 	writes      uint8
-	places      [exploreWrites + 1]rosemary.Position
+	positions   [exploreWrites + 1]rosemary.Position
 	acked       uint8
 	lost        uint8
-	// promoted is the highest term that has had a primary.
-	promoted uint64
+	// highestPromotedTerm is the highest term that has had a primary.
+	highestPromotedTerm uint64
 }
 
-// variant breaks one rule, to show that the exploration finds it.
-type variant int
+// mutation is a broken rule that the exploration has to detect.
+type mutation int
 
 const (
-	variantSound variant = iota
-	// variantFirstFenced promotes any fenced target, not the greatest.
-	variantFirstFenced
-	// variantPrimaryWord acknowledges on the primary's word.
-	variantPrimaryWord
-	// variantSameTerm lets two supervisors fence under one term.
-	variantSameTerm
+	mutationNone mutation = iota
+	// mutationAnyFenced promotes any fenced target, whatever its position.
+	mutationAnyFenced
+	// mutationNoQuorum acknowledges once the primary has written a record.
+	mutationNoQuorum
+	// mutationSharedTerm lets two supervisors fence under the same term.
+	mutationSharedTerm
 )
 
-type world struct {
-	// limit bounds the writes.
-	limit uint8
-	state modelState
-	facts *rosegroup.Observations
-	clock int
-	trail *trail
+type exploredState struct {
+	maxWrites uint8
+	model     modelState
+	observer  *rosegroup.Observations
+	clock     int
+	path      *stepPath
 }
 
-// trail is the way to a world, newest step first.
-type trail struct {
-	step   string
-	before *trail
+// stepPath lists the steps that lead to a state, newest first.
+type stepPath struct {
+	step     string
+	previous *stepPath
 }
 
-// String lists the steps, oldest first.
-func (t *trail) String() string {
+// String returns the steps, oldest first.
+func (t *stepPath) String() string {
 	if t == nil {
 		return ""
 	}
-	return t.before.String() + t.step + "\n"
+	return t.previous.String() + t.step + "\n"
 }
 
 var exploreGroup = rosemary.Group{Database: "db", Targets: []rosemary.Target{{ID: "0"}, {ID: "1"}, {ID: "2"}}}
@@ -130,67 +130,68 @@
 	return false
 }
 
-func firstWorld(writes uint8) world {
-	w := world{limit: writes, facts: rosegroup.NewObservations(exploreGroup, nil)}
-	for i := range w.state.targets {
-		w.state.targets[i] = modelTarget{term: 1, role: rosemary.RoleReplica}
-		w.state.targets[i].append(1, 0)
+func initialState(writes uint8) exploredState {
+	initial := exploredState{maxWrites: writes, observer: rosegroup.NewObservations(exploreGroup, nil)}
+	for i := range initial.model.targets {
+		initial.model.targets[i] = modelTarget{term: 1, role: rosemary.RoleReplica}
+		initial.model.targets[i].append(1, 0)
 	}
-	w.state.targets[0].role = rosemary.RolePrimary
-	for i := range w.state.supervisors {
-		w.state.supervisors[i].chosen = -1
+	initial.model.targets[0].role = rosemary.RolePrimary
+	for i := range initial.model.supervisors {
+		initial.model.supervisors[i].chosen = -1
 	}
-	return w
+	return initial
 }
 
-// next returns every world that one step leads to.
-func (w world) next(v variant) []world {
-	var worlds []world
-	step := func(name string, change func(*world) bool) {
-		n := w
-		n.facts = w.facts.Clone()
+// successors returns the states that are one step away.
+func (e exploredState) successors(m mutation) []exploredState {
+	var states []exploredState
+	step := func(name string, change func(*exploredState) bool) {
+		n := e
+		n.observer = e.observer.Clone()
 		n.clock++
-		n.trail = &trail{name, w.trail}
+		n.path = &stepPath{name, e.path}
 		if change(&n) {
-			worlds = append(worlds, n)
+			states = append(states, n)
 		}
 	}
 	for i := range exploreTargets {
-		step(fmt.Sprint("write ", i), func(n *world) bool { return n.write(i, v) })
-		step(fmt.Sprint("replicate ", i), func(n *world) bool { return n.replicate(i) })
-		step(fmt.Sprint("sample ", i), func(n *world) bool { return n.sample(i, v) })
-		for s := range w.state.supervisors {
-			step(fmt.Sprint("fence by ", s, " of ", i), func(n *world) bool { return n.fence(s, i, v) })
-			step(fmt.Sprint("follow by ", s, " of ", i), func(n *world) bool { return n.follow(s, i) })
+		step(fmt.Sprint("write ", i), func(n *exploredState) bool { return n.write(i, m) })
+		step(fmt.Sprint("replicate ", i), func(n *exploredState) bool { return n.replicate(i) })
+		step(fmt.Sprint("sample ", i), func(n *exploredState) bool { return n.sample(i, m) })
+		for s := range e.model.supervisors {
+			step(fmt.Sprint("fence by ", s, " of ", i), func(n *exploredState) bool { return n.fence(s, i, m) })
+			step(fmt.Sprint("follow by ", s, " of ", i), func(n *exploredState) bool { return n.follow(s, i) })
 		}
 	}
-	for s := range w.state.supervisors {
-		step(fmt.Sprint("begin ", s), func(n *world) bool { return n.begin(s) })
-		step(fmt.Sprint("promote by ", s), func(n *world) bool { return n.promote(s, v) })
+	for s := range e.model.supervisors {
+		step(fmt.Sprint("begin ", s), func(n *exploredState) bool { return n.begin(s) })
+		step(fmt.Sprint("promote by ", s), func(n *exploredState) bool { return n.promote(s, m) })
 	}
-	return worlds
+	return states
 }
 
-func (w *world) write(i int, v variant) bool {
-	t := &w.state.targets[i]
-	if t.role != rosemary.RolePrimary || w.state.writes == w.limit {
+func (e *exploredState) write(i int, m mutation) bool {
+	t := &e.model.targets[i]
+	if t.role != rosemary.RolePrimary || e.model.writes == e.maxWrites {
 		return false
 	}
-	w.state.writes++
-	if !t.append(t.term, w.state.writes) {
+	e.model.writes++
+	if !t.append(t.term, e.model.writes) {
 		return false
 	}
-	w.state.places[w.state.writes] = t.position()
-	if v == variantPrimaryWord {
-		w.state.acked |= 1 << w.state.writes
+	e.model.positions[e.model.writes] = t.position()
+	if m == mutationNoQuorum {
+		e.model.acked |= 1 << e.model.writes
 	}
 	return true
 }
 
-// replicate copies one record to target i from the primary that it follows.
-func (w *world) replicate(i int) bool {
-	t := &w.state.targets[i]
-	p := &w.state.targets[t.primary]
+// replicate copies one record to target i from the primary that it follows,
+// after it has removed records that differ from the primary's.
+func (e *exploredState) replicate(i int) bool {
+	t := &e.model.targets[i]
+	p := &e.model.targets[t.primary]
 	if t.role != rosemary.RoleReplica || t.primary == i || p.role != rosemary.RolePrimary || p.term != t.term {
 		return false
 	}
@@ -212,28 +213,29 @@
 	return true
 }
 
-// sample lets the observer see target i, and acknowledge what follows from it.
-func (w *world) sample(i int, v variant) bool {
-	at := time.Unix(int64(w.clock), 0)
-	if !w.facts.Add(rosegroup.Observation{Status: w.state.targets[i].status(i), SentAt: at, ReceivedAt: at}) || v == variantPrimaryWord {
+// sample lets the observer record the status of target i, and acknowledge or
+// give up the writes whose outcome is then known.
+func (e *exploredState) sample(i int, m mutation) bool {
+	at := time.Unix(int64(e.clock), 0)
+	if !e.observer.Add(rosegroup.Observation{Status: e.model.targets[i].status(i), SentAt: at, ReceivedAt: at}) || m == mutationNoQuorum {
 		return false
 	}
-	for write := uint8(1); write <= w.state.writes; write++ {
-		switch w.facts.RecordStateAt(w.state.places[write]) {
+	for write := uint8(1); write <= e.model.writes; write++ {
+		switch e.observer.RecordStateAt(e.model.positions[write]) {
 		case rosemary.RecordPresent:
-			w.state.acked |= 1 << write
+			e.model.acked |= 1 << write
 		case rosemary.RecordLost:
-			w.state.lost |= 1 << write
+			e.model.lost |= 1 << write
 		}
 	}
 	return true
 }
 
-// begin starts an attempt under a higher term, also after a failed one.
-func (w *world) begin(s int) bool {
-	sup := &w.state.supervisors[s]
+// begin starts an attempt under a new term, possibly after an unfinished one.
+func (e *exploredState) begin(s int) bool {
+	sup := &e.model.supervisors[s]
 	term := uint64(0)
-	for _, t := range w.state.targets {
+	for _, t := range e.model.targets {
 		term = max(term, t.term)
 	}
 	if sup.done || term >= exploreTerms || sup.term > term {
@@ -243,141 +245,143 @@
 	return true
 }
 
-func (w *world) fence(s, i int, v variant) bool {
-	sup, t := &w.state.supervisors[s], &w.state.targets[i]
-	same := t.term == sup.term && (t.proposer == s+1 || v == variantSameTerm)
+func (e *exploredState) fence(s, i int, m mutation) bool {
+	sup, t := &e.model.supervisors[s], &e.model.targets[i]
+	same := t.term == sup.term && (t.proposer == s+1 || m == mutationSharedTerm)
 	if sup.term == 0 || sup.fenced[i] || sup.chosen >= 0 || sup.term < t.term || sup.term == t.term && !same {
 		return false
 	}
 	if sup.term > t.term {
 		t.term, t.proposer, t.role = sup.term, s+1, rosemary.RoleFenced
 	}
-	sup.fenced[i], sup.seen[i] = true, t.position()
+	sup.fenced[i], sup.fencedPositions[i] = true, t.position()
 	return true
 }
 
-// promote promotes once enough are fenced; the attempt may as well wait on.
-func (w *world) promote(s int, v variant) bool {
-	sup := &w.state.supervisors[s]
+// promote promotes a target if a quorum is fenced. The exploration also covers
+// attempts that wait for more fences.
+func (e *exploredState) promote(s int, m mutation) bool {
+	sup := &e.model.supervisors[s]
 	if sup.chosen >= 0 || sup.term == 0 {
 		return false
 	}
 	var fenced []rosemary.Status
-	for i, yes := range sup.fenced {
-		if yes {
-			fenced = append(fenced, rosemary.Status{Target: exploreGroup.Targets[i].ID, Position: sup.seen[i]})
+	for i, isFenced := range sup.fenced {
+		if isFenced {
+			fenced = append(fenced, rosemary.Status{Target: exploreGroup.Targets[i].ID, Position: sup.fencedPositions[i]})
 		}
 	}
 	if len(fenced) < exploreGroup.FenceQuorum() {
 		return false
 	}
 	chosen, found := rosesupervisor.ChoosePrimary(exploreGroup, fenced, func(rosemary.TargetID) bool { return false }, "")
-	if v == variantFirstFenced {
+	if m == mutationAnyFenced {
 		chosen, found = fenced[0], true
 	}
 	if !found {
 		return false
 	}
 	sup.chosen = int(chosen.Target[0] - '0')
-	t := &w.state.targets[sup.chosen]
+	t := &e.model.targets[sup.chosen]
 	if t.term != sup.term || t.role == rosemary.RoleReplica {
 		return true
 	}
 	if t.role == rosemary.RoleFenced {
 		t.role, t.primary = rosemary.RolePrimary, sup.chosen
-		w.state.promoted = max(w.state.promoted, sup.term)
+		e.model.highestPromotedTerm = max(e.model.highestPromotedTerm, sup.term)
 		return t.append(sup.term, 0)
 	}
 	return true
 }
 
-func (w *world) follow(s, i int) bool {
-	sup, t := &w.state.supervisors[s], &w.state.targets[i]
+func (e *exploredState) follow(s, i int) bool {
+	sup, t := &e.model.supervisors[s], &e.model.targets[i]
 	if sup.chosen < 0 || i == sup.chosen || sup.term < t.term || t.term == sup.term && t.role != rosemary.RoleFenced {
 		return false
 	}
-	if w.state.targets[sup.chosen].role != rosemary.RolePrimary || w.state.targets[sup.chosen].term != sup.term {
+	if e.model.targets[sup.chosen].role != rosemary.RolePrimary || e.model.targets[sup.chosen].term != sup.term {
 		return false
 	}
 	t.term, t.role, t.primary = sup.term, rosemary.RoleReplica, sup.chosen
 	return true
 }
 
-// broken tells which promise the world breaks, if any. A primary of an older
-// term may lack an acknowledged write: it can confirm nothing any more.
-func (w world) broken() string {
-	leader, leaders := -1, map[uint64]int{}
-	for i, t := range w.state.targets {
+// violation describes the invariant that the state violates, or returns an empty
+// string. A primary of an older term may lack an acknowledged write, as it can't
+// confirm any write.
+func (e exploredState) violation() string {
+	primary, primaries := -1, map[uint64]int{}
+	for i, t := range e.model.targets {
 		if t.role != rosemary.RolePrimary {
 			continue
 		}
-		leaders[t.term]++
-		if leaders[t.term] > 1 {
+		primaries[t.term]++
+		if primaries[t.term] > 1 {
 			return fmt.Sprintf("term %d has two primaries", t.term)
 		}
-		if t.term == max(w.state.promoted, 1) {
-			leader = i
+		if t.term == max(e.model.highestPromotedTerm, 1) {
+			primary = i
 		}
 	}
-	if w.state.acked&w.state.lost != 0 {
-		return "a write was told both acknowledged and lost"
+	if e.model.acked&e.model.lost != 0 {
+		return "a write was reported both acknowledged and lost"
 	}
-	if leader < 0 {
+	if primary < 0 {
 		return ""
 	}
 	for write := uint8(1); write <= exploreWrites; write++ {
-		if w.state.acked&(1<<write) != 0 && !w.state.targets[leader].holds(write) {
-			return fmt.Sprintf("acknowledged write %d is not on primary %d", write, leader)
+		if e.model.acked&(1<<write) != 0 && !e.model.targets[primary].holds(write) {
+			return fmt.Sprintf("acknowledged write %d is not on primary %d", write, primary)
 		}
 	}
 	return ""
 }
 
-func (w world) key() string {
+func (e exploredState) key() string {
 	var b []byte
-	number := func(n uint64) { b = append(b, byte(n)) }
-	for _, t := range w.state.targets {
-		number(t.term)
-		number(uint64(t.proposer))
+	appendByte := func(n uint64) { b = append(b, byte(n)) }
+	for _, t := range e.model.targets {
+		appendByte(t.term)
+		appendByte(uint64(t.proposer))
 		b = append(b, t.role[0])
-		number(uint64(t.primary))
+		appendByte(uint64(t.primary))
 		for _, record := range t.log[:t.size] {
 			b = append(b, record[0], record[1])
 		}
 		b = append(b, '|')
 	}
-	for _, s := range w.state.supervisors {
-		number(s.term)
-		number(uint64(s.chosen + 1))
+	for _, s := range e.model.supervisors {
+		appendByte(s.term)
+		appendByte(uint64(s.chosen + 1))
 		for i, fenced := range s.fenced {
 			if fenced {
-				number(uint64(i))
-				number(s.seen[i].LogTerm)
-				number(s.seen[i].Offset)
+				appendByte(uint64(i))
+				appendByte(s.fencedPositions[i].LogTerm)
+				appendByte(s.fencedPositions[i].Offset)
 			}
 		}
 		b = append(b, '|')
 	}
-	b = append(b, w.state.writes, w.state.acked, w.state.lost, byte(w.state.promoted))
-	for _, p := range w.state.places {
-		number(p.LogTerm)
-		number(p.Offset)
+	b = append(b, e.model.writes, e.model.acked, e.model.lost, byte(e.model.highestPromotedTerm))
+	for _, p := range e.model.positions {
+		appendByte(p.LogTerm)
+		appendByte(p.Offset)
 	}
-	return string(b) + w.facts.Fingerprint()
+	return string(b) + e.observer.Fingerprint()
 }
 
-// explore visits up to most worlds in breadth, and returns their number and the
-// first broken promise.
-func explore(v variant, writes uint8, most int) (int, string) {
-	start := firstWorld(writes)
+// explore visits up to maxStates states breadth-first, and returns their number
+// and the first violation.
+func explore(m mutation, writes uint8, maxStates int) (int, string) {
+	start := initialState(writes)
 	visited := map[string]bool{start.key(): true}
-	queue := []world{start}
-	for len(queue) > 0 && len(visited) < most {
-		w := queue[0]
+	queue := []exploredState{start}
+	for len(queue) > 0 && len(visited) < maxStates {
+		state := queue[0]
 		queue = queue[1:]
-		for _, n := range w.next(v) {
-			if broken := n.broken(); broken != "" {
-				return len(visited), broken + " after\n" + n.trail.String()
+		for _, n := range state.successors(m) {
+			if violation := n.violation(); violation != "" {
+				return len(visited), violation + " after\n" + n.path.String()
 			}
 			if key := n.key(); !visited[key] {
 				visited[key] = true
@@ -393,22 +397,22 @@
 		writes uint8
 		most   int
 	}{{1, 150_000}, {exploreWrites, 100_000}} {
-		states, broken := explore(variantSound, bounds.writes, bounds.most)
+		states, violation := explore(mutationNone, bounds.writes, bounds.most)
 		t.Logf("states=%d of at most %d, targets=%d writes=%d terms=%d", states, bounds.most, exploreTargets, bounds.writes, exploreTerms)
-		qt.New(t).Check(broken, qt.Equals, "")
+		qt.New(t).Check(violation, qt.Equals, "")
 	}
 }
 
 func TestExplorationFindsBrokenRules(t *testing.T) {
-	for name, v := range map[string]variant{
-		"first fenced":   variantFirstFenced,
-		"primary's word": variantPrimaryWord,
-		"shared term":    variantSameTerm,
+	for name, m := range map[string]mutation{
+		"any fenced target is promoted":     mutationAnyFenced,
+		"acknowledged without a quorum":     mutationNoQuorum,
+		"two supervisors fence in one term": mutationSharedTerm,
 	} {
 		t.Run(name, func(t *testing.T) {
-			states, broken := explore(v, exploreWrites, 400_000)
-			t.Logf("states=%d broken=%q", states, broken)
-			qt.New(t).Check(broken, qt.Not(qt.Equals), "")
+			states, violation := explore(m, exploreWrites, 400_000)
+			t.Logf("states=%d violation=%q", states, violation)
+			qt.New(t).Check(violation, qt.Not(qt.Equals), "")
 		})
 	}
 }
--- a/pkg/rosesupervisor/promotion.go
+++ b/pkg/rosesupervisor/promotion.go
@@ -10,75 +10,76 @@
 )
 
 const (
-	// fenceTimeout bounds the wait for enough fences.
+	// fenceTimeout bounds the wait for a fence quorum.
 	fenceTimeout = 800 * time.Millisecond
-	// fenceGrace is how long the remaining targets are waited for once
-	// there are enough.
+	// fenceGrace is the additional wait for the remaining targets once a quorum
+	// is fenced.
 	fenceGrace = 10 * time.Millisecond
 	// commandTimeout bounds one call to a target.
 	commandTimeout = 800 * time.Millisecond
 )
 
-// Promotion is one attempt to start a term. Each step is idempotent; one that
-// fails leaves the group to the next attempt under a higher term.
+// Promotion is one attempt to start a term. Each step is idempotent; after a
+// step that fails, the next attempt starts over under a higher term.
 type Promotion struct {
 	Group    rosemary.Group
 	Term     uint64
 	Proposer string
-	// Control drives one target.
+	// Control returns the control functions of a target.
 	Control func(rosemary.TargetID) rosemary.TargetControl
-	// Avoid tells which targets are not to be promoted if others can be.
+	// Avoid reports whether a target is to be promoted only if no other
+	// qualifies.
 	Avoid func(rosemary.TargetID) bool
-	// Wanted is promoted before others that qualify; empty has no wish.
+	// Preferred is promoted if it qualifies; empty for no preference.
 	Preferred rosemary.TargetID
 }
 
-// fenceAnswer is what one target made of a fence.
-type fenceAnswer struct {
+// fenceResult is the reply of one target to a fence.
+type fenceResult struct {
 	status rosemary.Status
 	err    error
 }
 
-// Fence fences the targets and returns those that accepted. The error is a
-// trace.CompareFailed when too few did.
+// Fence fences the targets and returns the statuses of those that accepted. The
+// error is a trace.CompareFailed if they are fewer than a fence quorum.
 func (p *Promotion) Fence(ctx context.Context) ([]rosemary.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
-	answers := make(chan fenceAnswer, len(p.Group.Targets))
+	results := make(chan fenceResult, len(p.Group.Targets))
 	for _, t := range p.Group.Targets {
 		go func() {
 			status, err := p.Control(t.ID).Fence(ctx, p.Term, p.Proposer)
-			answers <- fenceAnswer{status, err}
+			results <- fenceResult{status, err}
 		}()
 	}
 	defer cancel()
 	var fenced []rosemary.Status
-	var failure error
+	var lastErr error
 	var grace <-chan time.Time
 	for range p.Group.Targets {
 		select {
-		case a := <-answers:
-			if a.err != nil {
-				failure = a.err
+		case result := <-results:
+			if result.err != nil {
+				lastErr = result.err
 				continue
 			}
-			fenced = append(fenced, a.status)
+			fenced = append(fenced, result.status)
 			if len(fenced) == p.Group.FenceQuorum() {
 				grace = time.After(fenceGrace)
 			}
 		case <-grace:
 			return fenced, nil
 		case <-ctx.Done():
-			failure = ctx.Err()
+			lastErr = ctx.Err()
 		}
 	}
 	if len(fenced) < p.Group.FenceQuorum() {
 		return fenced, trace.CompareFailed("only %d of %d targets needed accepted the fence of term %d: %v",
-			len(fenced), p.Group.FenceQuorum(), p.Term, failure)
+			len(fenced), p.Group.FenceQuorum(), p.Term, lastErr)
 	}
 	return fenced, nil
 }
 
-// Run fences, chooses and promotes. It returns the new primary's status.
+// Run fences the targets, promotes one of them and returns its status.
 func (p *Promotion) Run(ctx context.Context) (rosemary.Status, error) {
 	fenced, err := p.Fence(ctx)
 	if err != nil {
--- a/pkg/rosesupervisor/record.go
+++ b/pkg/rosesupervisor/record.go
@@ -12,30 +12,28 @@
 )
 
 const (
-	// claimTimeout is what a failover spends on the store before it goes on
-	// without: the store keeps supervisors from getting in each other's way,
-	// the fences keep them safe.
+	// claimTimeout is how long a failover waits for the store before it goes on
+	// without it: the store only keeps supervisors from disturbing each other,
+	// while the fences ensure safety.
 	claimTimeout = 30 * time.Millisecond
 	// publishTimeout bounds one attempt to publish a primary.
 	publishTimeout = time.Second
-	// publishAttempts bounds the attempts; a later promotion or a repair
-	// publishes again.
-	publishAttempts = 20
-	// publishPause separates them.
-	publishPause = 3 * time.Second
+	// publishAttempts bounds the attempts; the next promotion publishes again.
+	publishAttempts   = 20
+	publishRetryDelay = 3 * time.Second
 )
 
-// GroupRecord is what the store holds of a group. It only rises.
+// GroupRecord is the stored state of a group. Its term never decreases.
 type GroupRecord struct {
 	Term uint64
-	// Primary is empty while the term has none yet.
+	// Primary is empty until a target has been promoted under Term.
 	Primary  rosemary.TargetID
 	Proposer string
 }
 
 func recordKey(database string) string { return "Groups/" + database }
 
-// readRecord returns the record and its revision; both zero if there is none.
+// readRecord returns the record and its revision; both are zero if there is none.
 func readRecord(ctx context.Context, store rosemary.Store, database string) (GroupRecord, int64, error) {
 	entry, err := store.Get(ctx, recordKey(database))
 	if trace.IsNotFound(err) {
@@ -46,15 +44,16 @@
 	}
 	var record GroupRecord
 	if err := json.Unmarshal(entry.Value, &record); err != nil {
-		return GroupRecord{}, entry.Revision, nil // an unreadable record is written anew
+		return GroupRecord{}, entry.Revision, nil // an unreadable record is overwritten
 	}
 	return record, entry.Revision, nil
 }
 
-// raise writes record if it is higher than the one in the store. An answer
-// that was lost is made up for by reading back: the proposer tells whose
-// write it was.
-func raise(ctx context.Context, store rosemary.Store, database string, record GroupRecord) (GroupRecord, error) {
+// advanceRecord writes record unless the store holds one of a later term, or of
+// another proposer for the same term, and returns the record then in the store.
+// A write whose reply was lost is found by reading back, as the proposer
+// identifies the writer.
+func advanceRecord(ctx context.Context, store rosemary.Store, database string, record GroupRecord) (GroupRecord, error) {
 	for {
 		current, revision, err := readRecord(ctx, store, database)
 		if err != nil {
@@ -72,14 +71,15 @@
 			return record, nil
 		}
 		if ctx.Err() != nil {
-			return GroupRecord{}, trace.ConnectionProblem(ctx.Err(), "the store did not answer in time")
+			return GroupRecord{}, trace.ConnectionProblem(ctx.Err(), "store did not answer in time")
 		}
 	}
 }
 
-// claim announces an attempt in the store. It returns the term to use, and
-// false when another supervisor is ahead.
-func (s *Supervisor) claim(ctx context.Context, term uint64, proposer string) (uint64, bool) {
+// claimTerm announces an attempt in the store. It returns the term to use, and
+// false if another supervisor has claimed the term or a later one. While the
+// store doesn't answer it returns true, as safety depends on the fences only.
+func (s *Supervisor) claimTerm(ctx context.Context, term uint64, proposer string) (uint64, bool) {
 	if s.config.Store == nil {
 		return term, true
 	}
@@ -90,23 +90,24 @@
 		return term, true
 	}
 	term = max(term, current.Term+1)
-	won, err := raise(ctx, s.config.Store, s.database(), GroupRecord{Term: term, Proposer: proposer})
+	winner, err := advanceRecord(ctx, s.config.Store, s.database(), GroupRecord{Term: term, Proposer: proposer})
 	if err != nil {
 		return term, true
 	}
-	return term, won.Proposer == proposer
+	return term, winner.Proposer == proposer
 }
 
-// publish writes the new primary to the store, however long that is down.
-func (s *Supervisor) publish(ctx context.Context, record GroupRecord) {
+// publishRecord writes the new primary to the store, with retries while the
+// store is down.
+func (s *Supervisor) publishRecord(ctx context.Context, record GroupRecord) {
 	if s.config.Store == nil {
 		return
 	}
 	for range publishAttempts {
 		attempt, cancel := context.WithTimeout(ctx, publishTimeout)
-		_, err := raise(attempt, s.config.Store, s.database(), record)
+		_, err := advanceRecord(attempt, s.config.Store, s.database(), record)
 		cancel()
-		if err == nil || !roseclock.Sleep(ctx, publishPause) {
+		if err == nil || !roseclock.Sleep(ctx, publishRetryDelay) {
 			return
 		}
 	}
--- a/pkg/rosesupervisor/replace_test.go
+++ b/pkg/rosesupervisor/replace_test.go
@@ -11,15 +11,15 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-func seen(id string) rosefleet.TargetView {
+func observedTarget(id string) rosefleet.TargetView {
 	return rosefleet.TargetView{TargetRegistration: rosemary.TargetRegistration{Target: rosemary.Target{ID: rosemary.TargetID(id)}}, SeenAt: time.Unix(1, 0)}
 }
 
-// led is a group that a leads.
-func led(change func(v *rosefleet.View)) rosefleet.View {
+// viewWithPrimaryA returns a view of a group whose primary is a, after change.
+func viewWithPrimaryA(change func(v *rosefleet.View)) rosefleet.View {
 	v := rosefleet.View{
 		Term: 1, HasPrimary: true, HasPrimaryView: true, PrimaryValid: true, Primary: rosegroup.PrimaryLease{Target: "a", Term: 1},
-		PrimaryView: seen("a"), Targets: []rosefleet.TargetView{seen("a"), seen("b"), seen("c")},
+		PrimaryView: observedTarget("a"), Targets: []rosefleet.TargetView{observedTarget("a"), observedTarget("b"), observedTarget("c")},
 	}
 	change(&v)
 	return v
@@ -31,49 +31,49 @@
 		change func(v *rosefleet.View)
 		want   Action
 	}{
-		{"led", func(*rosefleet.View) {}, ActionNone},
-		{"refused", func(v *rosefleet.View) { v.PrimaryView.UnreachableFor, v.PrimaryView.ConnectionRefused = 1, true }, ActionFailover},
-		{"silent", func(v *rosefleet.View) { v.PrimaryView.UnreachableFor = 1 }, ActionFailover},
-		{"leaving", func(v *rosefleet.View) { v.PrimaryView.Leaving = true }, ActionSwitchover},
+		{"healthy", func(*rosefleet.View) {}, ActionNone},
+		{"primary refuses connections", func(v *rosefleet.View) { v.PrimaryView.UnreachableFor, v.PrimaryView.ConnectionRefused = 1, true }, ActionFailover},
+		{"primary unresponsive", func(v *rosefleet.View) { v.PrimaryView.UnreachableFor = 1 }, ActionFailover},
+		{"primary leaving", func(v *rosefleet.View) { v.PrimaryView.Leaving = true }, ActionSwitchover},
 		{"without a primary", func(v *rosefleet.View) { v.HasPrimary, v.HasPrimaryView = false, false }, ActionFailover},
-		{"a target of which nothing is known", func(v *rosefleet.View) {
+		{"without a primary, a target's status unknown", func(v *rosefleet.View) {
 			v.HasPrimary, v.HasPrimaryView = false, false
 			v.Targets[1].SeenAt = time.Time{}
 		}, ActionNone},
-		{"a promotion left half-way", func(v *rosefleet.View) {
+		{"incomplete promotion", func(v *rosefleet.View) {
 			v.PrimaryValid = false
 			v.Targets[1].Status.PausedTerm = 2
 		}, ActionFailover},
-		{"uncertain without a fence", func(v *rosefleet.View) { v.PrimaryValid = false }, ActionNone},
-		{"nothing heard yet", func(v *rosefleet.View) { v.Term = 0 }, ActionNone},
-		{"alone", func(v *rosefleet.View) { v.Targets = v.Targets[:1] }, ActionNone},
+		{"lease expired, no replica fenced", func(v *rosefleet.View) { v.PrimaryValid = false }, ActionNone},
+		{"no status received yet", func(v *rosefleet.View) { v.Term = 0 }, ActionNone},
+		{"single target", func(v *rosefleet.View) { v.Targets = v.Targets[:1] }, ActionNone},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			need, _ := AssessReplacement(led(test.change))
+			need, _ := AssessReplacement(viewWithPrimaryA(test.change))
 			qt.Check(t, need, qt.Equals, test.want)
 		})
 	}
 }
 
-// A proxy that is cut off with some others may not replace a primary, though
-// all of them miss it.
-func TestAgreed(t *testing.T) {
+// A proxy that is partitioned together with a minority of the proxies must not
+// replace a primary, even if none of them reaches it.
+func TestReplacementAgreed(t *testing.T) {
 	tests := []struct {
 		name                          string
 		members, replied, reach, miss int
 		known, want                   bool
 	}{
-		{"all miss it", 6, 5, 0, 5, true, true},
+		{"no proxy reaches it", 6, 5, 0, 5, true, true},
 		{"all others reach it", 6, 5, 5, 0, true, false},
-		{"a third misses it", 6, 5, 4, 1, true, true},
-		{"few of many miss it", 12, 11, 10, 1, true, false},
-		{"alone in a cut", 6, 0, 0, 0, true, false},
-		{"two of six in a cut", 6, 1, 0, 1, true, false},
-		{"half of all", 6, 2, 0, 2, true, true},
-		{"nobody knows", 6, 5, 0, 0, true, false},
+		{"a third doesn't reach it", 6, 5, 4, 1, true, true},
+		{"less than a third don't reach it", 12, 11, 10, 1, true, false},
+		{"partitioned alone", 6, 0, 0, 0, true, false},
+		{"partitioned with one other", 6, 1, 0, 1, true, false},
+		{"half of all, this one included", 6, 2, 0, 2, true, true},
+		{"no other proxy knows it", 6, 5, 0, 0, true, false},
 		{"no primary known", 6, 5, 0, 0, false, true},
-		{"no primary known, alone", 6, 0, 0, 0, false, false},
+		{"no primary known, no replies", 6, 0, 0, 0, false, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -86,16 +86,16 @@
 	at := func(id string, offset uint64) rosemary.Status {
 		return rosemary.Status{Target: rosemary.TargetID(id), Position: rosemary.Position{LogTerm: 1, Offset: offset}}
 	}
-	view := led(func(v *rosefleet.View) { v.Targets[0].Leaving = true })
+	view := viewWithPrimaryA(func(v *rosefleet.View) { v.Targets[0].Leaving = true })
 	tests := []struct {
 		name   string
 		fenced []rosemary.Status
 		old    rosemary.Status
 		want   rosemary.TargetID
 	}{
-		{"the most of the log", []rosemary.Status{at("b", 4), at("c", 5)}, rosemary.Status{}, "c"},
-		{"not the one that leaves", []rosemary.Status{at("a", 5), at("b", 5)}, at("a", 5), "b"},
-		{"the old primary if only it has all", []rosemary.Status{at("b", 4), at("a", 5)}, at("a", 5), "a"},
+		{"greatest position", []rosemary.Status{at("b", 4), at("c", 5)}, rosemary.Status{}, "c"},
+		{"prefers a target that isn't leaving", []rosemary.Status{at("a", 5), at("b", 5)}, at("a", 5), "b"},
+		{"old primary if no other has its position", []rosemary.Status{at("b", 4), at("a", 5)}, at("a", 5), "a"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/pkg/rosesupervisor/supervisor.go
+++ b/pkg/rosesupervisor/supervisor.go
@@ -16,45 +16,47 @@
 )
 
 const (
-	// rankDelay is how much longer each further supervisor waits.
-	rankDelay = 300 * time.Millisecond
-	// checkInterval bounds the time between two looks at the group.
+	// rankStagger is the additional delay of each further supervisor of a group.
+	rankStagger = 300 * time.Millisecond
+	// checkInterval bounds the time between two assessments of the group.
 	checkInterval = 50 * time.Millisecond
-	// settleTime keeps a new supervisor from acting before it knows much.
-	settleTime = time.Second
-	// retryPause follows a failed attempt, with as much again at random.
-	retryPause = 50 * time.Millisecond
+	// initialDelay keeps a new supervisor from acting before it has heard from
+	// the targets.
+	initialDelay = time.Second
+	// retryDelay follows a failed attempt, plus a random delay of up to as much.
+	retryDelay = 50 * time.Millisecond
 )
 
-// Config sets up a Supervisor.
+// Config configures a Supervisor.
 type Config struct {
 	Self  rosemary.ProxyID
 	Group *rosegroup.Controller
-	// Control drives one target, beside the controller's watches.
+	// Control returns the control functions of a target; they are separate from
+	// those that the controller uses for its watches.
 	Control func(rosemary.TargetID) rosemary.TargetControl
 	// Store may be nil.
 	Store rosemary.Store
 	// Rank is this proxy's place among the supervisors of the group.
 	Rank func() int
-	// Announce tells the peers of a new primary.
+	// Announce notifies the peers of a new primary.
 	Announce func(rosemary.Status)
-	// Leaving tells which targets are to get no new work.
+	// Leaving reports whether a target is to get no new work.
 	Leaving func(rosemary.TargetID) bool
-	// OnPromotion is told of each promotion that this proxy made.
+	// OnPromotion is called after each promotion by this proxy; may be nil.
 	OnPromotion func(took time.Duration)
 }
 
-// Supervisor keeps one group led.
+// Supervisor keeps one group with a primary that its other targets follow.
 type Supervisor struct {
 	config  Config
 	started time.Time
 	tasks   sync.WaitGroup
 
-	// acting holds one token while an attempt runs.
-	acting chan struct{}
+	// attemptSlot holds one token while an attempt runs.
+	attemptSlot chan struct{}
 
-	need  Action
-	since time.Time
+	action      Action
+	actionSince time.Time
 }
 
 // New returns a supervisor; Run starts it.
@@ -62,12 +64,12 @@
 	if config.OnPromotion == nil {
 		config.OnPromotion = func(time.Duration) {}
 	}
-	return &Supervisor{config: config, acting: make(chan struct{}, 1)}
+	return &Supervisor{config: config, attemptSlot: make(chan struct{}, 1)}
 }
 
 func (s *Supervisor) database() string { return s.config.Group.Group().Database }
 
-// Run looks after the group until ctx ends.
+// Run supervises the group until ctx ends.
 func (s *Supervisor) Run(ctx context.Context) {
 	s.started = time.Now()
 	defer s.tasks.Wait()
@@ -84,31 +86,32 @@
 	}
 }
 
-// step acts on a need once it has lasted long enough for this proxy's rank.
+// step takes an action once its reason has persisted long enough for this
+// proxy's rank.
 func (s *Supervisor) step(ctx context.Context, view rosegroup.View) {
-	need, after := Assess(s.config.Group.Group(), view, s.config.Leaving)
+	action, delay := Assess(s.config.Group.Group(), view, s.config.Leaving)
 	now := time.Now()
-	if need != s.need {
-		s.need, s.since = need, now
+	if action != s.action {
+		s.action, s.actionSince = action, now
 	}
-	if need == ActionNone || now.Sub(s.started) < settleTime {
+	if action == ActionNone || now.Sub(s.started) < initialDelay {
 		return
 	}
-	after += time.Duration(s.config.Rank()) * rankDelay
-	if now.Sub(s.since) < after {
+	delay += time.Duration(s.config.Rank()) * rankStagger
+	if now.Sub(s.actionSince) < delay {
 		return
 	}
-	s.act(ctx, need, view)
-	s.since = time.Now()
+	s.act(ctx, action, view)
+	s.actionSince = time.Now()
 }
 
-func (s *Supervisor) act(ctx context.Context, need Action, view rosegroup.View) {
-	if !s.begin(ctx) {
+func (s *Supervisor) act(ctx context.Context, action Action, view rosegroup.View) {
+	if !s.acquireSlot(ctx) {
 		return
 	}
-	defer s.end()
+	defer s.releaseSlot()
 	var err error
-	switch need {
+	switch action {
 	case ActionFollow:
 		s.follow(ctx, view, view.Primary.Status)
 		return
@@ -121,49 +124,50 @@
 	}
 	if err != nil {
 		klog.InfoS("promotion failed", "proxy", s.config.Self, "database", s.database(), "err", err)
-		roseclock.Sleep(ctx, retryPause+rand.N(retryPause))
+		roseclock.Sleep(ctx, retryDelay+rand.N(retryDelay))
 	}
 }
 
-// begin waits for the end of another attempt. It reports false when ctx ended
+// acquireSlot waits until no other attempt runs. It reports false when ctx ended
 // first.
-func (s *Supervisor) begin(ctx context.Context) bool {
+func (s *Supervisor) acquireSlot(ctx context.Context) bool {
 	select {
-	case s.acting <- struct{}{}:
+	case s.attemptSlot <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (s *Supervisor) end() { <-s.acting }
+func (s *Supervisor) releaseSlot() { <-s.attemptSlot }
 
-// MovePrimary makes another target the primary: to if it is given and holds every
-// acknowledged write, else the best one. It returns the new primary.
+// MovePrimary makes another target the primary: to, if it is given and holds
+// every acknowledged write, and otherwise the one that ChoosePrimary selects. It
+// returns the new primary.
 func (s *Supervisor) MovePrimary(ctx context.Context, to rosemary.TargetID) (rosemary.TargetID, error) {
 	if _, known := s.config.Group.Group().Find(to); to != "" && !known {
 		return "", trace.NotFound("database %s has no target %q", s.database(), to)
 	}
-	if !s.begin(ctx) {
-		return "", trace.ConnectionProblem(ctx.Err(), "another attempt on %s is running", s.database())
+	if !s.acquireSlot(ctx) {
+		return "", trace.ConnectionProblem(ctx.Err(), "another operation on database %s is still running", s.database())
 	}
-	defer s.end()
+	defer s.releaseSlot()
 	view, _ := s.config.Group.View()
 	if view.HasPrimary && view.Primary.ID == to {
 		return to, nil
 	}
-	status, err := s.promote(ctx, view, "asked by an operator", to)
+	status, err := s.promote(ctx, view, "requested by an operator", to)
 	return status.Target, err
 }
 
-// promote starts a new term. The present primary is passed over if another
-// target qualifies.
-func (s *Supervisor) promote(ctx context.Context, view rosegroup.View, reason string, wanted rosemary.TargetID) (rosemary.Status, error) {
+// promote starts a new term. The current primary is promoted again only if no
+// other target qualifies.
+func (s *Supervisor) promote(ctx context.Context, view rosegroup.View, reason string, preferred rosemary.TargetID) (rosemary.Status, error) {
 	started := time.Now()
 	proposer := fmt.Sprintf("%s#%016x", s.config.Self, rand.Uint64())
-	term, ahead := s.claim(ctx, view.Term+1, proposer)
-	if !ahead {
-		return rosemary.Status{}, trace.CompareFailed("another supervisor is ahead")
+	term, claimed := s.claimTerm(ctx, view.Term+1, proposer)
+	if !claimed {
+		return rosemary.Status{}, trace.CompareFailed("another supervisor has claimed the term or a later one")
 	}
 	klog.InfoS("promotion begins", "proxy", s.config.Self, "database", s.database(), "term", term, "reason", reason)
 	promotion := &Promotion{
@@ -171,23 +175,23 @@
 		Term:      term,
 		Proposer:  proposer,
 		Control:   s.config.Control,
-		Preferred: wanted,
+		Preferred: preferred,
 		Avoid: func(id rosemary.TargetID) bool {
 			return id == view.Primary.ID || s.config.Leaving(id)
 		},
 	}
-	sent := time.Now()
+	sentAt := time.Now()
 	status, err := promotion.Run(ctx)
 	if err != nil {
 		return rosemary.Status{}, err
 	}
-	s.config.Group.Observe(rosegroup.Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
+	s.config.Group.Observe(rosegroup.Observation{Status: status, SentAt: sentAt, ReceivedAt: time.Now()})
 	s.config.Announce(status)
 	s.config.OnPromotion(time.Since(started))
 	klog.InfoS("promotion done", "proxy", s.config.Self, "database", s.database(), "term", term,
 		"primary", status.Target, "took", time.Since(started))
 	s.tasks.Go(func() {
-		s.publish(ctx, GroupRecord{Term: term, Primary: status.Target, Proposer: proposer})
+		s.publishRecord(ctx, GroupRecord{Term: term, Primary: status.Target, Proposer: proposer})
 	})
 	view, _ = s.config.Group.View()
 	s.follow(ctx, view, status)
@@ -201,19 +205,19 @@
 		if t.ID == primary.Target || t.Reachability.Down() {
 			continue
 		}
-		calls.Go(func() { s.followOne(ctx, t.ID, primary) })
+		calls.Go(func() { s.followTarget(ctx, t.ID, primary) })
 	}
 	calls.Wait()
 }
 
-func (s *Supervisor) followOne(ctx context.Context, id rosemary.TargetID, primary rosemary.Status) {
+func (s *Supervisor) followTarget(ctx context.Context, id rosemary.TargetID, primary rosemary.Status) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	sent := time.Now()
+	sentAt := time.Now()
 	status, err := s.config.Control(id).Follow(ctx, primary.Target, primary.Term)
 	if err != nil {
 		klog.V(1).InfoS("follow failed", "proxy", s.config.Self, "database", s.database(), "target", id, "err", err)
 		return
 	}
-	s.config.Group.Observe(rosegroup.Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
+	s.config.Group.Observe(rosegroup.Observation{Status: status, SentAt: sentAt, ReceivedAt: time.Now()})
 }
