--- a/pkg/roseadmit/budget.go
+++ b/pkg/roseadmit/budget.go
@@ -6,41 +6,41 @@
 )
 
 const (
-	// retryShare is the number of retries earned by one request.
-	retryShare = 0.1
-	// retriesPerSecond is earned whatever the load.
+	// retriesPerRequest is added to the balance by each request.
+	retriesPerRequest = 0.1
+	// retriesPerSecond is added to the balance independently of the load.
 	retriesPerSecond = 10.0
-	// maxRetries bounds the retries saved up.
-	maxRetries = 100.0
+	// maxBalance bounds the burst of retries after a time without failures.
+	maxBalance = 100.0
 )
 
-// RetryBudget bounds retries to a share of requests, so that a failure doesn't
-// multiply the load. Its methods may be called concurrently.
+// RetryBudget limits retries to a share of requests, so that they don't multiply
+// the load during a failure. Its methods may be called concurrently.
 type RetryBudget struct {
-	mu      sync.Mutex
-	balance float64
-	paidAt  time.Time
+	mu         sync.Mutex
+	balance    float64
+	refilledAt time.Time
 }
 
-// NewRetryBudget returns a budget with a second's worth of retries.
+// NewRetryBudget returns a budget with a balance of retriesPerSecond.
 func NewRetryBudget() *RetryBudget {
-	return &RetryBudget{balance: retriesPerSecond, paidAt: time.Now()}
+	return &RetryBudget{balance: retriesPerSecond, refilledAt: time.Now()}
 }
 
 // Deposit records a request.
 func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.balance = min(b.balance+retryShare, maxRetries)
+	b.balance = min(b.balance+retriesPerRequest, maxBalance)
 }
 
-// TryWithdraw reports whether a retry may run.
+// TryWithdraw reports whether a retry may run, and takes it off the balance.
 func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.balance = min(b.balance+now.Sub(b.paidAt).Seconds()*retriesPerSecond, maxRetries)
-	b.paidAt = now
+	b.balance = min(b.balance+now.Sub(b.refilledAt).Seconds()*retriesPerSecond, maxBalance)
+	b.refilledAt = now
 	if b.balance < 1 {
 		return false
 	}
--- a/pkg/roseadmit/limiter.go
+++ b/pkg/roseadmit/limiter.go
@@ -3,44 +3,46 @@
 import "time"
 
 const (
-	// latencyWeight is the weight of a new latency in the mean.
-	latencyWeight = 0.1
-	// latencyTolerance is the rise over the least latency of a class that
-	// is taken for queueing at the target.
-	latencyTolerance = 1.3
-	// latencySlack keeps scheduling noise from shrinking the limit.
-	latencySlack = 2 * time.Millisecond
-	// leastLatencyWindow is how long a least latency is believed.
-	leastLatencyWindow = 10 * time.Second
-	// decrease is the factor that shrinks the limit.
-	decrease = 0.8
-	// firstLatency is assumed before anything was observed.
-	firstLatency = 2 * time.Millisecond
+	// smoothingFactor is the weight of a new sample in the moving averages.
+	smoothingFactor = 0.1
+	// queueingThreshold is the ratio of latency to the minimum latency of a class
+	// above which requests are assumed to queue at the target.
+	queueingThreshold = 1.3
+	// latencyNoise is added to the minimum latency, so that scheduling noise
+	// doesn't lower the limit.
+	latencyNoise = 2 * time.Millisecond
+	// minLatencyWindow is how long a minimum latency stays valid.
+	minLatencyWindow = 10 * time.Second
+	// decreaseFactor lowers the limit when requests queue at the target.
+	decreaseFactor = 0.8
+	// initialLatency is assumed before the first request was observed.
+	initialLatency = 2 * time.Millisecond
 )
 
-// leastLatency is the least latency of a class within a window.
-type leastLatency struct {
+// minLatency is the minimum latency of a class within minLatencyWindow.
+type minLatency struct {
 	latency time.Duration
 	at      time.Time
 }
 
-// limiter adapts the number of requests in flight: it grows by one for each
-// round of requests that kept a low latency, and shrinks when latency shows
-// that the target queues. Classes differ in what they cost, so each is
-// compared with its own least latency.
+// limiter adapts the limit of requests in flight by additive increase and
+// multiplicative decrease: it raises the limit by one after a round of requests
+// with low latency, and lowers it when the latency shows that requests queue at
+// the target. Classes differ in cost, so each is compared with its own minimum
+// latency.
 type limiter struct {
-	limit     float64
-	most      int
-	mean      time.Duration
-	rise      float64
-	least     map[string]leastLatency
-	adjustIn  int
-	saturated bool
+	limit              float64
+	maxLimit           int
+	meanLatency        time.Duration
+	latencyRise        float64
+	minLatencies       map[string]minLatency
+	samplesUntilAdjust int
+	saturated          bool
 }
 
-func newLimiter(most int) limiter {
-	most = max(most, 1)
-	return limiter{limit: float64(most), most: most, rise: 1, least: make(map[string]leastLatency)}
+func newLimiter(maxLimit int) limiter {
+	maxLimit = max(maxLimit, 1)
+	return limiter{limit: float64(maxLimit), maxLimit: maxLimit, latencyRise: 1, minLatencies: make(map[string]minLatency)}
 }
 
 func (l *limiter) current() int {
@@ -48,37 +50,37 @@
 }
 
 func (l *limiter) latency() time.Duration {
-	if l.mean == 0 {
-		return firstLatency
+	if l.meanLatency == 0 {
+		return initialLatency
 	}
-	return l.mean
+	return l.meanLatency
 }
 
-func (l *limiter) setMax(most int) {
-	most = max(most, 1)
-	if l.current() == l.most {
-		l.limit = float64(most)
+func (l *limiter) setMaxLimit(maxLimit int) {
+	maxLimit = max(maxLimit, 1)
+	if l.current() == l.maxLimit {
+		l.limit = float64(maxLimit)
 	}
-	l.most = most
-	l.limit = min(l.limit, float64(most))
+	l.maxLimit = maxLimit
+	l.limit = min(l.limit, float64(maxLimit))
 }
 
-// observe learns from one served request.
+// observe records the latency of a served request.
 func (l *limiter) observe(class string, latency time.Duration, inFlight int) {
-	if l.mean == 0 {
-		l.mean = latency
+	if l.meanLatency == 0 {
+		l.meanLatency = latency
 	}
-	l.mean += time.Duration(latencyWeight * float64(latency-l.mean))
-	least := l.least[class]
-	if least.latency == 0 || latency < least.latency || time.Since(least.at) > leastLatencyWindow {
-		least = leastLatency{latency: latency, at: time.Now()}
-		l.least[class] = least
+	l.meanLatency += time.Duration(smoothingFactor * float64(latency-l.meanLatency))
+	minimum := l.minLatencies[class]
+	if minimum.latency == 0 || latency < minimum.latency || time.Since(minimum.at) > minLatencyWindow {
+		minimum = minLatency{latency: latency, at: time.Now()}
+		l.minLatencies[class] = minimum
 	}
-	rise := float64(latency) / float64(least.latency+latencySlack)
-	l.rise += latencyWeight * (rise - l.rise)
+	ratio := float64(latency) / float64(minimum.latency+latencyNoise)
+	l.latencyRise += smoothingFactor * (ratio - l.latencyRise)
 	l.saturated = l.saturated || inFlight >= l.current()
-	if l.adjustIn > 0 {
-		l.adjustIn--
+	if l.samplesUntilAdjust > 0 {
+		l.samplesUntilAdjust--
 		return
 	}
 	l.adjust()
@@ -86,11 +88,11 @@
 
 func (l *limiter) adjust() {
 	switch {
-	case l.rise > latencyTolerance:
-		l.limit = max(1, l.limit*decrease)
+	case l.latencyRise > queueingThreshold:
+		l.limit = max(1, l.limit*decreaseFactor)
 	case l.saturated:
-		l.limit = min(l.limit+1, float64(l.most))
+		l.limit = min(l.limit+1, float64(l.maxLimit))
 	}
 	l.saturated = false
-	l.adjustIn = 2 * l.current()
+	l.samplesUntilAdjust = 2 * l.current()
 }
--- a/pkg/roseadmit/queue.go
+++ b/pkg/roseadmit/queue.go
@@ -1,6 +1,6 @@
-// Package roseadmit decides whose statement runs next on a scarce target:
-// weighted fair queueing over tenants and classes, bounded and aware of
-// deadlines, under an in-flight limit that adapts to the target's latency.
+// Package roseadmit controls admission of requests to a target by weighted fair
+// queueing over tenants and classes. Queues are bounded and aware of deadlines;
+// the limit of requests in flight adapts to the target's latency.
 package roseadmit
 
 import (
@@ -12,41 +12,41 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Flow is a stream of requests that shares one weight.
+// Flow identifies the requests that share one weight.
 type Flow struct {
 	Tenant string
 	Class  string
-	// Weight is the flow's share; values below one count as one.
+	// Weight is the flow's relative share; values below one count as one.
 	Weight int
 }
 
-// Config sets up a Queue.
+// Config configures a Queue.
 type Config struct {
-	// MaxInFlight is the most requests in flight; the adaptive limit stays
-	// at or below it.
+	// MaxInFlight bounds the adaptive limit of requests in flight.
 	MaxInFlight int
-	// MaxQueued bounds the requests that wait, over all flows.
+	// MaxQueued bounds the waiting requests of all flows; zero means 2048.
 	MaxQueued int
-	// MaxQueuedPerTenant bounds the waiting requests of one tenant.
+	// MaxQueuedPerTenant bounds the waiting requests of one tenant; zero means a
+	// quarter of MaxQueued.
 	MaxQueuedPerTenant int
-	// OnQueued is told that a request has to wait. It must not block.
+	// OnQueued is called when a request has to wait. It must not block.
 	OnQueued func()
-	// FirstInFirstOut replaces fair queueing; it is the baseline that the
-	// load tool compares with.
+	// FirstInFirstOut replaces fair queueing; the load tool uses it as the
+	// baseline of its comparison.
 	FirstInFirstOut bool
 }
 
 // Queue admits requests. Its methods may be called concurrently.
 type Queue struct {
-	mu       sync.Mutex
-	config   Config
-	limit    limiter
-	inFlight int
-	waiting  waiterHeap
-	perFlow  map[Flow]float64
-	perOwner map[string]int
-	virtual  float64
-	sequence uint64
+	mu              sync.Mutex
+	config          Config
+	limiter         limiter
+	inFlight        int
+	waiting         waiterHeap
+	lastFinishTag   map[Flow]float64
+	queuedPerTenant map[string]int
+	virtualTime     float64
+	lastSequence    uint64
 }
 
 // NewQueue returns an empty queue.
@@ -59,14 +59,14 @@
 		config.MaxQueuedPerTenant = config.MaxQueued / 4
 	}
 	return &Queue{
-		config:   config,
-		limit:    newLimiter(config.MaxInFlight),
-		perFlow:  make(map[Flow]float64),
-		perOwner: make(map[string]int),
+		config:          config,
+		limiter:         newLimiter(config.MaxInFlight),
+		lastFinishTag:   make(map[Flow]float64),
+		queuedPerTenant: make(map[string]int),
 	}
 }
 
-// Ticket is the right to run one request.
+// Ticket is the permission to run one request.
 type Ticket struct {
 	queue   *Queue
 	class   string
@@ -74,12 +74,12 @@
 	once    sync.Once
 }
 
-// Acquire waits for a ticket. A request that can't be served before ctx's
-// deadline is refused at once; the error is a *rosemary.Refusal of kind
-// overloaded or deadline, and the request has not run.
+// Acquire waits for a ticket. A request that is not expected to be served before
+// ctx's deadline is refused immediately. The error is a *rosemary.Refusal of
+// kind overloaded or deadline, and the request has not run.
 func (q *Queue) Acquire(ctx context.Context, flow Flow) (*Ticket, error) {
 	q.mu.Lock()
-	if q.inFlight < q.limit.current() && len(q.waiting) == 0 {
+	if q.inFlight < q.limiter.current() && len(q.waiting) == 0 {
 		q.inFlight++
 		q.mu.Unlock()
 		return q.ticket(flow), nil
@@ -105,49 +105,51 @@
 	return &Ticket{queue: q, class: flow.Class, started: time.Now()}
 }
 
-// refuse returns a refusal when the bounds or the deadline can't be met. The
-// lock is held.
+// refuse returns a refusal if a bound is reached or the deadline can't be met,
+// and nil otherwise. The lock is held.
 func (q *Queue) refuse(ctx context.Context, flow Flow) *rosemary.Refusal {
-	wait := q.predict(flow)
-	if len(q.waiting) >= q.config.MaxQueued || q.perOwner[flow.Tenant] >= q.config.MaxQueuedPerTenant {
+	wait := q.estimateWait(flow)
+	if len(q.waiting) >= q.config.MaxQueued || q.queuedPerTenant[flow.Tenant] >= q.config.MaxQueuedPerTenant {
 		return overloaded("the queue of the target is full", wait)
 	}
 	if deadline, ok := ctx.Deadline(); ok && wait > time.Until(deadline) {
-		return overloaded("the wait for the target would pass the deadline", wait)
+		return overloaded("the expected wait for the target exceeds the deadline", wait)
 	}
 	return nil
 }
 
-// predict estimates the wait of a new request of flow. The lock is held.
-func (q *Queue) predict(flow Flow) time.Duration {
-	tag := q.tag(flow)
+// estimateWait estimates the wait of a new request of flow. The lock is held.
+func (q *Queue) estimateWait(flow Flow) time.Duration {
+	tag := q.finishTag(flow)
 	ahead := 1
 	for _, w := range q.waiting {
-		if w.tag <= tag {
+		if w.finishTag <= tag {
 			ahead++
 		}
 	}
-	return time.Duration(float64(ahead) / float64(q.limit.current()) * float64(q.limit.latency()))
+	return time.Duration(float64(ahead) / float64(q.limiter.current()) * float64(q.limiter.latency()))
 }
 
-// tag returns the finish tag of a new request of flow. The lock is held.
-func (q *Queue) tag(flow Flow) float64 {
+// finishTag returns the virtual finish time of a new request of flow. The lock
+// is held.
+func (q *Queue) finishTag(flow Flow) float64 {
 	if q.config.FirstInFirstOut {
-		return q.virtual
+		return q.virtualTime
 	}
-	return max(q.virtual, q.perFlow[flow]) + 1/float64(max(flow.Weight, 1))
+	return max(q.virtualTime, q.lastFinishTag[flow]) + 1/float64(max(flow.Weight, 1))
 }
 
 func (q *Queue) enqueue(flow Flow) *waiter {
-	q.sequence++
-	w := &waiter{flow: flow, tag: q.tag(flow), sequence: q.sequence, ready: make(chan struct{})}
-	q.perFlow[flow] = w.tag
-	q.perOwner[flow.Tenant]++
+	q.lastSequence++
+	w := &waiter{flow: flow, finishTag: q.finishTag(flow), sequence: q.lastSequence, ready: make(chan struct{})}
+	q.lastFinishTag[flow] = w.finishTag
+	q.queuedPerTenant[flow.Tenant]++
 	heap.Push(&q.waiting, w)
 	return w
 }
 
-// abandon takes w out of the queue, or gives back the ticket that it got.
+// abandon removes w from the queue, or releases the ticket that it was given
+// meanwhile.
 func (q *Queue) abandon(w *waiter) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -156,79 +158,79 @@
 		q.dispatch()
 	} else {
 		heap.Remove(&q.waiting, w.index)
-		q.forget(w)
+		q.uncountWaiter(w)
 	}
 	return &rosemary.Refusal{
 		Kind:       rosemary.KindDeadline,
 		Outcome:    rosemary.OutcomeNotRun,
-		Message:    "the deadline passed while the request waited for the target",
-		Remedy:     "retry, or raise the class's deadline",
-		RetryAfter: q.limit.latency(),
+		Message:    "the deadline expired while the request was queued for the target",
+		Remedy:     "retry, or raise the deadline of the class",
+		RetryAfter: q.limiter.latency(),
 	}
 }
 
-func (q *Queue) forget(w *waiter) {
-	q.perOwner[w.flow.Tenant]--
-	if q.perOwner[w.flow.Tenant] == 0 {
-		delete(q.perOwner, w.flow.Tenant)
+func (q *Queue) uncountWaiter(w *waiter) {
+	q.queuedPerTenant[w.flow.Tenant]--
+	if q.queuedPerTenant[w.flow.Tenant] == 0 {
+		delete(q.queuedPerTenant, w.flow.Tenant)
 	}
 	if len(q.waiting) == 0 {
-		clear(q.perFlow)
-		q.virtual = 0
+		clear(q.lastFinishTag)
+		q.virtualTime = 0
 	}
 }
 
-// dispatch hands free places to the waiters with the least tags. The lock is
-// held.
+// dispatch admits the waiters with the smallest finish tags, as far as the limit
+// allows. The lock is held.
 func (q *Queue) dispatch() {
-	for q.inFlight < q.limit.current() && len(q.waiting) > 0 {
+	for q.inFlight < q.limiter.current() && len(q.waiting) > 0 {
 		w := heap.Pop(&q.waiting).(*waiter)
-		q.virtual = max(q.virtual, w.tag)
-		q.forget(w)
+		q.virtualTime = max(q.virtualTime, w.finishTag)
+		q.uncountWaiter(w)
 		q.inFlight++
 		close(w.ready)
 	}
 }
 
-// Release gives the ticket back. A served request teaches the limit its
-// latency; a failed one doesn't.
+// Release returns the ticket. The latency of a served request adapts the limit;
+// that of a failed one is ignored.
 func (t *Ticket) Release(served bool) {
 	t.once.Do(func() {
 		q := t.queue
 		q.mu.Lock()
 		defer q.mu.Unlock()
 		if served {
-			q.limit.observe(t.class, time.Since(t.started), q.inFlight)
+			q.limiter.observe(t.class, time.Since(t.started), q.inFlight)
 		}
 		q.inFlight--
 		q.dispatch()
 	})
 }
 
-// SetMaxInFlight changes the bound on requests in flight.
+// SetMaxInFlight changes the bound of the adaptive limit.
 func (q *Queue) SetMaxInFlight(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.limit.setMax(n)
+	q.limiter.setMaxLimit(n)
 	q.dispatch()
 }
 
-// Load tells how busy the queue is.
+// Load is the utilization of a queue.
 type Load struct {
 	InFlight int
 	Queued   int
 	Limit    int
-	// Max is the bound that the adaptive limit stays at or below.
+	// MaxInFlight is the bound of the adaptive limit.
 	MaxInFlight int
-	// Latency is the mean time from ticket to release.
+	// Latency is the moving average of the time from ticket to release.
 	Latency time.Duration
 }
 
-// Load returns the queue's load now.
+// Load returns the current load of the queue.
 func (q *Queue) Load() Load {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return Load{InFlight: q.inFlight, Queued: len(q.waiting), Limit: q.limit.current(), MaxInFlight: q.limit.most, Latency: q.limit.latency()}
+	return Load{InFlight: q.inFlight, Queued: len(q.waiting), Limit: q.limiter.current(), MaxInFlight: q.limiter.maxLimit, Latency: q.limiter.latency()}
 }
 
 func overloaded(message string, wait time.Duration) *rosemary.Refusal {
@@ -242,21 +244,21 @@
 }
 
 type waiter struct {
-	flow     Flow
-	tag      float64
-	sequence uint64
-	index    int
-	ready    chan struct{}
+	flow      Flow
+	finishTag float64
+	sequence  uint64
+	index     int
+	ready     chan struct{}
 }
 
-// waiterHeap orders waiters by tag, then by arrival.
+// waiterHeap orders waiters by finish tag, then by arrival.
 type waiterHeap []*waiter
 
 func (h waiterHeap) Len() int { return len(h) }
 
 func (h waiterHeap) Less(i, j int) bool {
-	if h[i].tag != h[j].tag {
-		return h[i].tag < h[j].tag
+	if h[i].finishTag != h[j].finishTag {
+		return h[i].finishTag < h[j].finishTag
 	}
 	return h[i].sequence < h[j].sequence
 }
@@ -267,14 +269,14 @@
 	h[j].index = j
 }
 
-// Push adds a waiter; it serves container/heap.
+// Push adds a waiter; it is called by container/heap.
 func (h *waiterHeap) Push(x any) {
 	w := x.(*waiter)
 	w.index = len(*h)
 	*h = append(*h, w)
 }
 
-// Pop removes the last waiter; it serves container/heap.
+// Pop removes the last waiter; it is called by container/heap.
 func (h *waiterHeap) Pop() any {
 	old := *h
 	w := old[len(old)-1]
--- a/pkg/roseadmit/queue_test.go
+++ b/pkg/roseadmit/queue_test.go
@@ -15,13 +15,14 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// flood keeps a flow asking for tickets of 10 ms and counts those it got.
-func flood(ctx context.Context, tasks *sync.WaitGroup, queue *roseadmit.Queue, flow roseadmit.Flow, callers int, served *atomic.Int64) {
+// runCallers has callers of a flow request tickets until ctx ends, hold each for
+// 10 ms, and count them in served.
+func runCallers(ctx context.Context, tasks *sync.WaitGroup, queue *roseadmit.Queue, flow roseadmit.Flow, callers int, served *atomic.Int64) {
 	for range callers {
 		tasks.Go(func() {
 			for ctx.Err() == nil {
-				waiting, cancel := context.WithTimeout(ctx, 5*time.Second)
-				ticket, err := queue.Acquire(waiting, flow)
+				acquireCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
+				ticket, err := queue.Acquire(acquireCtx, flow)
 				cancel()
 				if err != nil {
 					time.Sleep(time.Millisecond)
@@ -35,7 +36,7 @@
 	}
 }
 
-func TestTicketsFollowTheWeights(t *testing.T) {
+func TestTicketsFollowWeights(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		fifo      bool
@@ -52,8 +53,8 @@
 				defer cancel()
 				var heavy, light atomic.Int64
 				var tasks sync.WaitGroup
-				flood(ctx, &tasks, queue, roseadmit.Flow{Tenant: "heavy", Weight: 3}, 10, &heavy)
-				flood(ctx, &tasks, queue, roseadmit.Flow{Tenant: "light", Weight: 1}, 100, &light)
+				runCallers(ctx, &tasks, queue, roseadmit.Flow{Tenant: "heavy", Weight: 3}, 10, &heavy)
+				runCallers(ctx, &tasks, queue, roseadmit.Flow{Tenant: "light", Weight: 1}, 100, &light)
 				tasks.Wait()
 				ratio := float64(heavy.Load()) / float64(light.Load())
 				c.Check(ratio > test.low && ratio < test.high, qt.IsTrue, qt.Commentf("%d to %d", heavy.Load(), light.Load()))
@@ -62,7 +63,7 @@
 	}
 }
 
-func TestWhatCannotBeServedIsRefusedAtOnce(t *testing.T) {
+func TestAcquireRefusesImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		queue := roseadmit.NewQueue(roseadmit.Config{MaxInFlight: 1, MaxQueued: 8, MaxQueuedPerTenant: 2})
--- a/pkg/roselend/lender.go
+++ b/pkg/roselend/lender.go
@@ -1,6 +1,7 @@
-// Package roselend shares the connections of a target between proxies: each
-// owns a floor, and a lender grants the rest for a short time by demand. Loans
-// only make better use of connections; a target refuses what is too much.
+// Package roselend divides the connections of a target between proxies: each has
+// a number of its own, and a lender grants the others for a short time on
+// demand. Loans only improve utilization; the connection limit is enforced by
+// the target itself.
 package roselend
 
 import (
@@ -10,83 +11,84 @@
 )
 
 const (
-	// LoanDuration is how long a borrower may use a loan, from the time of its ask.
+	// LoanDuration is how long a borrower may use a loan, from the time of its
+	// request.
 	LoanDuration = 2 * time.Second
-	// RequestInterval separates the asks of a borrower for one target.
+	// RequestInterval is the interval of a borrower's requests for one target.
 	RequestInterval = 250 * time.Millisecond
-	// grace is how much longer the lender keeps a loan on its books, so that
-	// it is never lent twice while a borrower may still use it.
-	grace = time.Second
+	// expiryGrace is how much longer the lender counts a loan, so that its
+	// connections are never lent again while the borrower may still use them.
+	expiryGrace = time.Second
 )
 
 // Quota is the division of a target's connections.
 type Quota struct {
-	// Floor is the number that each proxy owns.
+	// Reserved is the number that each proxy owns.
 	Reserved int
-	// Rest is the number that is lent.
+	// Lendable is the number that the lender grants on demand.
 	Lendable int
 }
 
-// Divide shares connections between proxies, after one control connection for
-// each. Two thirds of an equal part are the floor.
+// Divide divides connections between proxies, after one control connection for
+// each. Two thirds of an equal share are reserved, the remainder is lendable.
 func Divide(connections, proxies int) Quota {
 	proxies = max(proxies, 1)
-	free := max(connections-proxies, proxies)
-	floor := max(free*2/(3*proxies), 1)
-	return Quota{Reserved: floor, Lendable: max(free-floor*proxies, 0)}
+	available := max(connections-proxies, proxies)
+	reserved := max(available*2/(3*proxies), 1)
+	return Quota{Reserved: reserved, Lendable: max(available-reserved*proxies, 0)}
 }
 
-// DivideEvenly shares connections evenly, with nothing to lend.
+// DivideEvenly divides connections evenly, with nothing lendable.
 func DivideEvenly(connections, proxies int) Quota {
 	proxies = max(proxies, 1)
 	return Quota{Reserved: max((connections-proxies)/proxies, 1)}
 }
 
-// loan is what one borrower has of one target.
+// loan is what one borrower has borrowed of one target's connections.
 type loan struct {
-	extra int
-	until time.Time
+	connections int
+	expiresAt   time.Time
 }
 
-// Lender keeps the books of the targets that this proxy lends. It isn't safe
-// for concurrent use.
+// Lender tracks the loans of the targets for which this proxy is the lender. It
+// isn't safe for concurrent use.
 type Lender struct {
-	books map[rosemary.TargetID]map[rosemary.ProxyID]loan
+	loans map[rosemary.TargetID]map[rosemary.ProxyID]loan
 }
 
 // NewLender returns a lender without loans.
 func NewLender() *Lender {
-	return &Lender{books: make(map[rosemary.TargetID]map[rosemary.ProxyID]loan)}
+	return &Lender{loans: make(map[rosemary.TargetID]map[rosemary.ProxyID]loan)}
 }
 
-// Grant returns how many connections a borrower gets, of rest. A new ask
-// replaces the borrower's last loan. Nobody keeps more than an equal part of
-// the rest while others ask too.
-func (l *Lender) Grant(now time.Time, target rosemary.TargetID, borrower rosemary.ProxyID, want, rest int) int {
-	book := l.books[target]
-	if book == nil {
-		book = make(map[rosemary.ProxyID]loan)
-		l.books[target] = book
+// Grant returns how many of the lendable connections a borrower gets. A request
+// replaces the borrower's previous loan. While others request connections too,
+// none gets more than an equal share.
+func (l *Lender) Grant(now time.Time, target rosemary.TargetID, borrower rosemary.ProxyID, wanted, lendable int) int {
+	loans := l.loans[target]
+	if loans == nil {
+		loans = make(map[rosemary.ProxyID]loan)
+		l.loans[target] = loans
 	}
 	lent := 0
-	for id, other := range book {
-		if now.After(other.until) {
-			delete(book, id)
+	for id, other := range loans {
+		if now.After(other.expiresAt) {
+			delete(loans, id)
 			continue
 		}
 		if id != borrower {
-			lent += other.extra
+			lent += other.connections
 		}
 	}
-	if want <= 0 {
-		delete(book, borrower)
+	if wanted <= 0 {
+		delete(loans, borrower)
 		return 0
 	}
-	delete(book, borrower)
-	extra := max(min(want, rest-lent), 0)
-	if others := len(book); others > 0 {
-		extra = min(extra, max(rest/(others+1), 1))
+	delete(loans, borrower)
+	granted := max(min(wanted, lendable-lent), 0)
+	if others := len(loans); others > 0 {
+		granted = min(granted, max(lendable/(others+1), 1))
 	}
-	book[borrower] = loan{extra: extra, until: now.Add(LoanDuration + grace)}
-	return extra
+	loans[borrower] = loan{connections: granted, expiresAt: now.Add(LoanDuration + expiryGrace)}
+	return granted
 }
--- a/pkg/roselend/lender_test.go
+++ b/pkg/roselend/lender_test.go
@@ -27,42 +27,42 @@
 	}
 }
 
-// Whatever is asked and in whatever order, what borrowers may use at one time
-// is never more than the rest.
-func TestLoansNeverExceedTheRest(t *testing.T) {
-	const rest, borrowers = 8, 6
+// Guards against connections being lent twice: for any order of requests, the
+// loans in use at one time never exceed the lendable connections.
+func TestLoansNeverExceedLendable(t *testing.T) {
+	const lendable, borrowers = 8, 6
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		lender := roselend.NewLender()
 		now := time.Unix(0, 0)
-		using := make(map[rosemary.ProxyID]int)
-		until := make(map[rosemary.ProxyID]time.Time)
+		inUse := make(map[rosemary.ProxyID]int)
+		validUntil := make(map[rosemary.ProxyID]time.Time)
 		for range 300 {
 			now = now.Add(time.Duration(random.IntN(400)) * time.Millisecond)
 			id := rosemary.ProxyID(fmt.Sprint(random.IntN(borrowers)))
-			using[id] = lender.Grant(now, "t", id, random.IntN(12), rest)
-			until[id] = now.Add(roselend.LoanDuration)
+			inUse[id] = lender.Grant(now, "t", id, random.IntN(12), lendable)
+			validUntil[id] = now.Add(roselend.LoanDuration)
 			total := 0
-			for other, extra := range using {
-				if now.Before(until[other]) {
-					total += extra
+			for other, connections := range inUse {
+				if now.Before(validUntil[other]) {
+					total += connections
 				}
 			}
-			if total > rest {
-				t.Fatalf("seed %d: %d connections in use of %d lent", seed, total, rest)
+			if total > lendable {
+				t.Fatalf("seed %d: %d connections in use, of %d lendable", seed, total, lendable)
 			}
 		}
 	}
 }
 
-func TestAloneABorrowerGetsAll(t *testing.T) {
+func TestGrantSharesAmongBorrowers(t *testing.T) {
 	c := qt.New(t)
 	lender := roselend.NewLender()
 	now := time.Unix(0, 0)
 	c.Check(lender.Grant(now, "t", "a", 20, 8), qt.Equals, 8)
 	c.Check(lender.Grant(now, "t", "b", 20, 8), qt.Equals, 0)
 	later := now.Add(time.Second)
-	c.Check(lender.Grant(later, "t", "a", 20, 8), qt.Equals, 4, qt.Commentf("b asks too"))
+	c.Check(lender.Grant(later, "t", "a", 20, 8), qt.Equals, 4, qt.Commentf("b has requested connections too"))
 	c.Check(lender.Grant(later, "t", "b", 20, 8), qt.Equals, 4)
 	c.Check(lender.Grant(later.Add(time.Minute), "t", "b", 3, 8), qt.Equals, 3)
 }
