--- a/pkg/rosegroup/bench_test.go
+++ b/pkg/rosegroup/bench_test.go
@@ -17,9 +17,9 @@
 	return group
 }
 
-// BenchmarkNote reports what one fact costs, and what a group holds.
-func BenchmarkNote(b *testing.B) {
-	facts := rosegroup.NewObservations(benchGroup(), nil)
+// BenchmarkObservationsAdd measures the time and allocations of one observation.
+func BenchmarkObservationsAdd(b *testing.B) {
+	observations := rosegroup.NewObservations(benchGroup(), nil)
 	offset, at := uint64(0), time.Unix(0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -33,6 +33,6 @@
 		if target == 0 {
 			status.Role = rosemary.RolePrimary
 		}
-		facts.Add(rosegroup.Observation{Status: status, SentAt: at, ReceivedAt: at})
+		observations.Add(rosegroup.Observation{Status: status, SentAt: at, ReceivedAt: at})
 	}
 }
--- a/pkg/rosegroup/controller.go
+++ b/pkg/rosegroup/controller.go
@@ -14,24 +14,24 @@
 // Config sets up a Controller.
 type Config struct {
 	Group rosemary.Group
-	// Controls drives the targets, one each, for watching.
+	// Controls holds one control connection for each target, for watching.
 	Controls map[rosemary.TargetID]rosemary.TargetControl
-	// Leaving tells which targets are on their way out; nil means none.
+	// Leaving reports whether a target is about to be removed; nil means none is.
 	Leaving func(rosemary.TargetID) bool
-	// Probes drive the targets, one each, for a status at once; nil leaves
-	// that to the watches.
+	// Probes holds one control connection for each target, for an immediate
+	// status; nil leaves that to the watches.
 	Probes map[rosemary.TargetID]rosemary.TargetControl
-	// WatchWait is how long a target holds a watch without news.
+	// WatchTimeout is how long a target holds a watch whose status doesn't change.
 	WatchTimeout time.Duration
-	// OnChange is called after a change of terms, roles or reachability.
-	// It must not block.
+	// OnChange is called when the primary changes or a target goes down. It
+	// must not block.
 	OnChange func(Change)
 }
 
-// Change is an event that others act on.
+// Change is a change of primary or a target that went down.
 type Change struct {
 	Database string
-	// Down lists a target that stopped answering.
+	// Down is set to a target that stopped answering.
 	Down rosemary.TargetID
 	// Primary and Term are set when the primary changed.
 	Primary rosemary.TargetID
@@ -39,24 +39,24 @@
 }
 
 const (
-	defaultWatchWait = 200 * time.Millisecond
-	// reconnectPause separates attempts to reach a silent target.
-	reconnectPause = 25 * time.Millisecond
-	// downAfter is the number of failed calls after which a target counts
+	defaultWatchTimeout = 200 * time.Millisecond
+	// reconnectDelay separates attempts to reach a target that doesn't answer.
+	reconnectDelay = 25 * time.Millisecond
+	// downThreshold is the number of failed calls after which a target counts
 	// as down: a failed watch, then a failed new connection.
-	downAfter = 2
+	downThreshold = 2
 )
 
-// Controller follows one group. Its methods may be called concurrently.
+// Controller monitors one group. Its methods may be called concurrently.
 type Controller struct {
 	config Config
 
-	mu      sync.Mutex
-	facts   *Observations
-	reach   map[rosemary.TargetID]Reachability
-	changed chan struct{}
-	primary rosemary.TargetID
-	term    uint64
+	mu           sync.Mutex
+	observations *Observations
+	reachability map[rosemary.TargetID]Reachability
+	changed      chan struct{}
+	primary      rosemary.TargetID
+	term         uint64
 	// probing holds one token while a probe runs.
 	probing chan struct{}
 }
@@ -64,33 +64,34 @@
 // Reachability tells whether a target answers this process.
 type Reachability struct {
 	Failures int
-	// Refused is set when the target's VM answered that nothing listens.
+	// ConnectionRefused is set when the target's VM answered that no process
+	// listens on the port.
 	ConnectionRefused bool
-	// Since is when the present state began.
+	// Since is when the target began to answer, or to fail.
 	Since time.Time
 }
 
-// Down reports whether the target counts as unreachable.
-func (r Reachability) Down() bool { return r.Failures >= downAfter }
+// Down reports whether the target counts as down.
+func (r Reachability) Down() bool { return r.Failures >= downThreshold }
 
 // NewController returns a controller; Run starts it.
 func NewController(config Config) *Controller {
 	if config.WatchTimeout <= 0 {
-		config.WatchTimeout = defaultWatchWait
+		config.WatchTimeout = defaultWatchTimeout
 	}
 	if config.OnChange == nil {
 		config.OnChange = func(Change) {}
 	}
 	return &Controller{
-		config:  config,
-		facts:   NewObservations(config.Group, config.Leaving),
-		reach:   make(map[rosemary.TargetID]Reachability),
-		changed: make(chan struct{}),
-		probing: make(chan struct{}, 1),
+		config:       config,
+		observations: NewObservations(config.Group, config.Leaving),
+		reachability: make(map[rosemary.TargetID]Reachability),
+		changed:      make(chan struct{}),
+		probing:      make(chan struct{}, 1),
 	}
 }
 
-// Group returns the group that the controller follows.
+// Group returns the group that the controller monitors.
 func (c *Controller) Group() rosemary.Group { return c.config.Group }
 
 // Run watches every target until ctx ends.
@@ -115,40 +116,40 @@
 		}
 		if err != nil {
 			known = rosemary.Status{}
-			c.noteFailure(id, err)
-			roseclock.Sleep(ctx, reconnectPause)
+			c.observeFailure(id, err)
+			roseclock.Sleep(ctx, reconnectDelay)
 			continue
 		}
 		known = status
-		c.noteAnswer(id)
+		c.observeAnswer(id)
 		c.Observe(Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
 	}
 }
 
-func (c *Controller) noteAnswer(id rosemary.TargetID) {
+func (c *Controller) observeAnswer(id rosemary.TargetID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reach[id].Failures > 0 || c.reach[id].Since.IsZero() {
-		c.reach[id] = Reachability{Since: time.Now()}
-		c.wake()
+	if c.reachability[id].Failures > 0 || c.reachability[id].Since.IsZero() {
+		c.reachability[id] = Reachability{Since: time.Now()}
+		c.notifyChanged()
 	}
 }
 
-func (c *Controller) noteFailure(id rosemary.TargetID, err error) {
+func (c *Controller) observeFailure(id rosemary.TargetID, err error) {
 	c.mu.Lock()
-	r := c.reach[id]
+	r := c.reachability[id]
 	if r.Failures == 0 {
 		r.Since = time.Now()
 	}
 	r.Failures++
 	r.ConnectionRefused = isRefused(err)
 	if r.ConnectionRefused {
-		r.Failures = max(r.Failures, downAfter)
+		r.Failures = max(r.Failures, downThreshold)
 	}
-	before := c.reach[id].Down()
-	c.reach[id] = r
+	before := c.reachability[id].Down()
+	c.reachability[id] = r
 	if r.Down() != before {
-		c.wake()
+		c.notifyChanged()
 	}
 	c.mu.Unlock()
 	if r.Down() && !before {
@@ -156,26 +157,26 @@
 	}
 }
 
-// Observe takes in a fact, from this process's watch or from a peer.
-func (c *Controller) Observe(fact Observation) {
+// Observe records an observation made by this process or by a peer.
+func (c *Controller) Observe(observation Observation) {
 	c.mu.Lock()
-	news := c.facts.Add(fact)
-	if news {
-		c.wake()
+	isNew := c.observations.Add(observation)
+	if isNew {
+		c.notifyChanged()
 	}
-	primary, ok := c.facts.Primary()
-	moved := ok && (primary.Target != c.primary || primary.Term != c.term)
-	if moved {
+	primary, ok := c.observations.Primary()
+	primaryChanged := ok && (primary.Target != c.primary || primary.Term != c.term)
+	if primaryChanged {
 		c.primary, c.term = primary.Target, primary.Term
 	}
 	c.mu.Unlock()
-	if moved {
+	if primaryChanged {
 		c.config.OnChange(Change{Database: c.config.Group.Database, Primary: primary.Target, Term: primary.Term})
 	}
 }
 
-// wake tells waiters to look again. The lock is held.
-func (c *Controller) wake() {
+// notifyChanged wakes the waiters. The lock must be held.
+func (c *Controller) notifyChanged() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
@@ -187,52 +188,52 @@
 	return c.changed
 }
 
-// TargetView is what is known of one target at one moment.
+// TargetView is a snapshot of what is known of one target.
 type TargetView struct {
 	rosemary.Target
 	Status       rosemary.Status
 	Reachability Reachability
-	// Age bounds the age of the target's data; Known is false without bound.
+	// Age is an upper bound on the age of the target's data, valid if AgeKnown.
 	Age      time.Duration
 	AgeKnown bool
 	Seen     bool
-	// SeenAt is when the status was asked for.
+	// SeenAt is when the status was requested.
 	SeenAt time.Time
 }
 
-// View is what is known of a group at one moment.
+// View is a snapshot of what is known of a group.
 type View struct {
 	Term    uint64
 	Targets []TargetView
-	// Primary is the leader of Term; HasPrimary is false when none is known.
+	// Primary is the primary of Term, valid if HasPrimary.
 	Primary    TargetView
 	HasPrimary bool
 	Confirmed  rosemary.Position
-	// CurrentAt is when Term was last known to be in force.
+	// TermVerifiedAt is when Term was last known to be in force.
 	TermVerifiedAt time.Time
-	// ConfirmLag is how far confirmation is behind the primary.
+	// ConfirmationLag is how far confirmation is behind the primary.
 	ConfirmationLag time.Duration
 }
 
-// View returns what is known now, and a channel that closes at the next change.
+// View returns a snapshot, and a channel that closes at the next change.
 func (c *Controller) View() (View, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	term := c.facts.Term()
-	view := View{Term: term, Confirmed: c.facts.Confirmed(), TermVerifiedAt: c.facts.TermVerifiedAt(term)}
-	if at := c.facts.ConfirmedAt(); !at.IsZero() {
+	term := c.observations.Term()
+	view := View{Term: term, Confirmed: c.observations.Confirmed(), TermVerifiedAt: c.observations.TermVerifiedAt(term)}
+	if at := c.observations.ConfirmedAt(); !at.IsZero() {
 		view.ConfirmationLag = now.Sub(at)
 	}
 	for _, t := range c.config.Group.Targets {
-		fact, seen := c.facts.Get(t.ID)
-		tv := TargetView{Target: t, Status: fact.Status, Reachability: c.reach[t.ID], Seen: seen, SeenAt: fact.SentAt}
-		if fresh := c.facts.CaughtUpAt(t.ID); !fresh.IsZero() {
-			tv.Age = now.Sub(fresh)
+		observation, seen := c.observations.Get(t.ID)
+		tv := TargetView{Target: t, Status: observation.Status, Reachability: c.reachability[t.ID], Seen: seen, SeenAt: observation.SentAt}
+		if caughtUpAt := c.observations.CaughtUpAt(t.ID); !caughtUpAt.IsZero() {
+			tv.Age = now.Sub(caughtUpAt)
 			tv.AgeKnown = true
 		}
 		view.Targets = append(view.Targets, tv)
-		if seen && fact.Term == term && fact.LeadsTerm() {
+		if seen && observation.Term == term && observation.LeadsTerm() {
 			view.Primary = tv
 			view.HasPrimary = true
 		}
@@ -240,23 +241,23 @@
 	return view, c.changed
 }
 
-// Observations returns the facts known now.
+// Observations returns the newest observation of each target.
 func (c *Controller) Observations() []Observation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.facts.All()
+	return c.observations.All()
 }
 
-// AwaitConfirmation waits until the fate of the record at p is known. The error is
-// ctx's when it isn't known in time.
+// AwaitConfirmation waits until the record at p is known to be confirmed or
+// lost. The error is that of ctx if it ends first.
 func (c *Controller) AwaitConfirmation(ctx context.Context, p rosemary.Position) (rosemary.RecordState, error) {
 	for {
 		c.mu.Lock()
-		fate := c.facts.RecordStateAt(p)
+		state := c.observations.RecordStateAt(p)
 		changed := c.changed
 		c.mu.Unlock()
-		if fate != rosemary.RecordUnknown {
-			return fate, nil
+		if state != rosemary.RecordUnknown {
+			return state, nil
 		}
 		select {
 		case <-changed:
@@ -267,37 +268,38 @@
 }
 
 // MinReadPosition returns a position at or after every write that was
-// acknowledged before since. It waits until the primary was seen after since
-// and its term was in force after since.
+// acknowledged before since. It waits until a status of the primary was
+// requested after since and its term was in force after since.
 func (c *Controller) MinReadPosition(ctx context.Context, since time.Time) (rosemary.Position, error) {
 	c.Probe(ctx)
 	for {
 		c.mu.Lock()
-		primary, ok := c.facts.Primary()
-		settled := ok && !primary.SentAt.Before(since) && !c.facts.TermVerifiedAt(primary.Term).Before(since)
+		primary, ok := c.observations.Primary()
+		verified := ok && !primary.SentAt.Before(since) && !c.observations.TermVerifiedAt(primary.Term).Before(since)
 		c.mu.Unlock()
-		if settled {
+		if verified {
 			return primary.Position, nil
 		}
-		if err := waitPoll(ctx); err != nil {
+		if err := sleepReadPoll(ctx); err != nil {
 			return rosemary.Position{}, err
 		}
 	}
 }
 
-// samplePoll separates looks at facts whose times matter, not only their news.
-const samplePoll = 2 * time.Millisecond
+// readPollInterval separates checks of the observation times, which advance
+// without a change that Changed would report.
+const readPollInterval = 2 * time.Millisecond
 
-func waitPoll(ctx context.Context) error {
-	roseclock.Sleep(ctx, samplePoll)
+func sleepReadPoll(ctx context.Context) error {
+	roseclock.Sleep(ctx, readPollInterval)
 	return ctx.Err()
 }
 
-// probeTimeout bounds one probe.
+// probeTimeout limits the duration of a probe.
 const probeTimeout = 400 * time.Millisecond
 
-// Probe asks every target for its status now, and returns once a quorum has
-// answered. Callers that come while a probe runs share the next one.
+// Probe requests the status of every target now, and returns once a quorum has
+// answered. Only one probe runs at a time; further callers wait for their turn.
 func (c *Controller) Probe(ctx context.Context) {
 	if len(c.config.Probes) == 0 {
 		return
@@ -324,18 +326,20 @@
 	c.awaitQuorum(answered)
 }
 
-// awaitQuorum returns once the primary's term can be judged, or all answered.
+// awaitQuorum returns once a quorum has answered and the primary's term was in
+// force recently, or once every target has answered or failed.
 func (c *Controller) awaitQuorum(answered <-chan bool) {
-	good := 0
+	successes := 0
 	for range c.config.Probes {
 		if <-answered {
-			good++
+			successes++
 		}
-		if primary, _ := c.View(); good >= c.config.Group.Quorum() && primary.HasPrimary && time.Since(primary.TermVerifiedAt) < probeTimeout {
+		if view, _ := c.View(); successes >= c.config.Group.Quorum() && view.HasPrimary && time.Since(view.TermVerifiedAt) < probeTimeout {
 			return
 		}
 	}
 }
 
-// WatchTimeout returns how long a target holds a watch without news.
+// WatchTimeout returns how long a target holds a watch whose status doesn't
+// change.
 func (c *Controller) WatchTimeout() time.Duration { return c.config.WatchTimeout }
--- a/pkg/rosegroup/facts.go
+++ b/pkg/rosegroup/facts.go
@@ -1,6 +1,6 @@
-// Package rosegroup follows one database group: which target leads, what has
-// been confirmed on a quorum, and how old each replica's data is. Facts are
-// plain state; Controller adds the goroutines that gather them.
+// Package rosegroup monitors one database group: which target is the primary,
+// what a quorum has confirmed, and how old each replica's data is.
+// Observations is plain state; Controller adds the goroutines that collect it.
 package rosegroup
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Observation is a status with the bounds of the time at which it held.
+// Observation is a target's status with bounds on the time at which it held.
 type Observation struct {
 	rosemary.Status
-	// SentAt is when the status was asked for, on this process's clock.
+	// SentAt is when the status was requested, on this process's clock.
 	SentAt time.Time
-	// ReceivedAt is when it arrived.
+	// ReceivedAt is when the status arrived.
 	ReceivedAt time.Time
 }
 
@@ -27,14 +27,14 @@
 	byTarget  map[rosemary.TargetID]Observation
 	confirmed rosemary.Position
 	history   rosemary.History
-	ages      ages
-	// leaving tells which targets are on their way out.
+	timeline  timeline
+	// leaving reports whether a target is about to be removed.
 	leaving func(rosemary.TargetID) bool
 }
 
-// NewObservations returns an empty set of facts about group.
-// Targets that leaving names don't count for a confirmation, unless they lead:
-// what is acknowledged must outlast their removal.
+// NewObservations returns an empty set of observations of group. Leaving
+// targets don't count towards a confirmation, except for the primary: an
+// acknowledged write must survive their removal.
 func NewObservations(group rosemary.Group, leaving func(rosemary.TargetID) bool) *Observations {
 	if leaving == nil {
 		leaving = func(rosemary.TargetID) bool { return false }
@@ -42,127 +42,127 @@
 	return &Observations{group: group, byTarget: make(map[rosemary.TargetID]Observation), leaving: leaving}
 }
 
-// Add takes in a fact and reports whether it told anything new. Facts may
-// come late, twice and out of order.
-func (f *Observations) Add(fact Observation) bool {
-	if _, member := f.group.Find(fact.Target); !member {
+// Add records an observation and reports whether it changed what is known.
+// Observations may arrive late, twice and out of order.
+func (o *Observations) Add(observation Observation) bool {
+	if _, member := o.group.Find(observation.Target); !member {
 		return false
 	}
-	known, seen := f.byTarget[fact.Target]
-	if seen && !supersedes(fact, known) {
+	known, seen := o.byTarget[observation.Target]
+	if seen && !supersedes(observation, known) {
 		return false
 	}
-	f.byTarget[fact.Target] = fact
-	f.confirm()
-	if fact.LeadsTerm() && fact.Term == f.Term() {
-		f.ages.add(sample{at: fact.SentAt, term: fact.Term, position: fact.Position})
+	o.byTarget[observation.Target] = observation
+	o.confirm()
+	if observation.LeadsTerm() && observation.Term == o.Term() {
+		o.timeline.add(sample{at: observation.SentAt, term: observation.Term, position: observation.Position})
 	}
-	f.ages.validate(fact.Term, f.TermVerifiedAt(fact.Term))
-	return !seen || fact.Term != known.Term || fact.Position != known.Position ||
-		fact.Role != known.Role || fact.Leaving != known.Leaving || fact.Streaming != known.Streaming
+	o.timeline.validate(observation.Term, o.TermVerifiedAt(observation.Term))
+	return !seen || observation.Term != known.Term || observation.Position != known.Position ||
+		observation.Role != known.Role || observation.Leaving != known.Leaving || observation.Streaming != known.Streaming
 }
 
-func supersedes(fact, known Observation) bool {
-	if fact.Term != known.Term {
-		return fact.Term > known.Term
+func supersedes(observation, known Observation) bool {
+	if observation.Term != known.Term {
+		return observation.Term > known.Term
 	}
-	return fact.SentAt.After(known.SentAt) || fact.Position.LogTerm > known.Position.LogTerm
+	return observation.SentAt.After(known.SentAt) || observation.Position.LogTerm > known.Position.LogTerm
 }
 
 // Term returns the highest term seen.
-func (f *Observations) Term() uint64 {
+func (o *Observations) Term() uint64 {
 	term := uint64(0)
-	for _, fact := range f.byTarget {
-		term = max(term, fact.Term)
+	for _, ob := range o.byTarget {
+		term = max(term, ob.Term)
 	}
 	return term
 }
 
-// Primary returns the fact of the target that leads the highest term.
-func (f *Observations) Primary() (Observation, bool) {
-	term := f.Term()
-	for _, fact := range f.byTarget {
-		if fact.Term == term && fact.LeadsTerm() {
-			return fact, true
+// Primary returns the observation of the primary of the highest term.
+func (o *Observations) Primary() (Observation, bool) {
+	term := o.Term()
+	for _, ob := range o.byTarget {
+		if ob.Term == term && ob.LeadsTerm() {
+			return ob, true
 		}
 	}
 	return Observation{}, false
 }
 
-// Get returns the fact of one target.
-func (f *Observations) Get(id rosemary.TargetID) (Observation, bool) {
-	fact, ok := f.byTarget[id]
-	return fact, ok
+// Get returns the observation of one target.
+func (o *Observations) Get(id rosemary.TargetID) (Observation, bool) {
+	observation, ok := o.byTarget[id]
+	return observation, ok
 }
 
-// All returns the facts in the order of the group's targets.
-func (f *Observations) All() []Observation {
+// All returns the observations in the order of the group's targets.
+func (o *Observations) All() []Observation {
 	var all []Observation
-	for _, t := range f.group.Targets {
-		if fact, ok := f.byTarget[t.ID]; ok {
-			all = append(all, fact)
+	for _, t := range o.group.Targets {
+		if ob, ok := o.byTarget[t.ID]; ok {
+			all = append(all, ob)
 		}
 	}
 	return all
 }
 
-// confirm raises the confirmed position: the greatest that a quorum, the
-// primary among it, was seen to hold under the primary's own term.
-func (f *Observations) confirm() {
-	primary, ok := f.Primary()
+// confirm advances the confirmed position: the greatest one that a quorum,
+// including the primary, was observed to hold under the primary's own term.
+func (o *Observations) confirm() {
+	primary, ok := o.Primary()
 	if !ok {
 		return
 	}
 	var offsets []uint64
-	for _, fact := range f.byTarget {
-		counts := fact.Target == primary.Target || !f.leaving(fact.Target)
-		if counts && fact.Term == primary.Term && fact.Position.LogTerm == primary.Term {
-			offsets = append(offsets, fact.Position.Offset)
+	for _, ob := range o.byTarget {
+		eligible := ob.Target == primary.Target || !o.leaving(ob.Target)
+		if eligible && ob.Term == primary.Term && ob.Position.LogTerm == primary.Term {
+			offsets = append(offsets, ob.Position.Offset)
 		}
 	}
-	quorum := f.group.Quorum()
+	quorum := o.group.Quorum()
 	if len(offsets) < quorum {
 		return
 	}
 	slices.Sort(offsets)
-	reached := min(offsets[len(offsets)-quorum], primary.Position.Offset)
-	position := rosemary.Position{LogTerm: primary.Term, Offset: reached}
-	if position.Compare(f.confirmed) > 0 {
-		f.confirmed = position
-		f.history = primary.History
+	offset := min(offsets[len(offsets)-quorum], primary.Position.Offset)
+	position := rosemary.Position{LogTerm: primary.Term, Offset: offset}
+	if position.Compare(o.confirmed) > 0 {
+		o.confirmed = position
+		o.history = primary.History
 	}
 }
 
 // Confirmed returns the greatest confirmed position.
-func (f *Observations) Confirmed() rosemary.Position { return f.confirmed }
+func (o *Observations) Confirmed() rosemary.Position { return o.confirmed }
 
-// RecordStateAt tells whether the record at p is acknowledged, lost for good, or
-// neither yet.
-func (f *Observations) RecordStateAt(p rosemary.Position) rosemary.RecordState {
-	return f.history.RecordState(p, f.confirmed)
+// RecordStateAt tells whether the record at p is confirmed, permanently lost,
+// or neither yet.
+func (o *Observations) RecordStateAt(p rosemary.Position) rosemary.RecordState {
+	return o.history.RecordState(p, o.confirmed)
 }
 
-// TermVerifiedAt returns the latest time at which term is known to have been in
-// force: a quorum, the primary among it, was asked at or after that time and
-// still accepted it. The zero time means never.
-func (f *Observations) TermVerifiedAt(term uint64) time.Time {
+// TermVerifiedAt returns the latest time at which term is known to have been
+// in force: a quorum, including the primary, was queried at or after that time
+// and still accepted it. The zero time means never.
+func (o *Observations) TermVerifiedAt(term uint64) time.Time {
 	var times []time.Time
-	led := time.Time{}
-	for _, fact := range f.byTarget {
-		if fact.Term != term {
+	primaryAt := time.Time{}
+	for _, ob := range o.byTarget {
+		if ob.Term != term {
 			continue
 		}
-		times = append(times, fact.SentAt)
-		if fact.LeadsTerm() {
-			led = fact.SentAt
+		times = append(times, ob.SentAt)
+		if ob.LeadsTerm() {
+			primaryAt = ob.SentAt
 		}
 	}
-	quorum := f.group.Quorum()
-	if len(times) < quorum || led.IsZero() {
+	quorum := o.group.Quorum()
+	if len(times) < quorum || primaryAt.IsZero() {
 		return time.Time{}
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	return earlier(times[len(times)-quorum], led)
+	return earlier(times[len(times)-quorum], primaryAt)
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -173,34 +173,34 @@
 }
 
 // CaughtUpAt returns the latest time at which the target is known to have held
-// all that its primary held. The zero time means unknown.
-func (f *Observations) CaughtUpAt(id rosemary.TargetID) time.Time {
-	fact, ok := f.byTarget[id]
+// everything that its primary held. The zero time means unknown.
+func (o *Observations) CaughtUpAt(id rosemary.TargetID) time.Time {
+	observation, ok := o.byTarget[id]
 	if !ok {
 		return time.Time{}
 	}
-	return f.ages.freshAt(fact.Position)
+	return o.timeline.timeOf(observation.Position)
 }
 
-// ConfirmedAt returns the latest time at which all that the primary held is
-// known to be confirmed now. The zero time means unknown.
-func (f *Observations) ConfirmedAt() time.Time {
-	return f.ages.freshAt(f.confirmed)
+// ConfirmedAt returns the latest time such that everything the primary held
+// then is confirmed by now. The zero time means unknown.
+func (o *Observations) ConfirmedAt() time.Time {
+	return o.timeline.timeOf(o.confirmed)
 }
 
 // Clone returns an independent copy.
-func (f *Observations) Clone() *Observations {
-	clone := *f
-	clone.byTarget = maps.Clone(f.byTarget)
-	clone.ages.samples = slices.Clone(f.ages.samples)
+func (o *Observations) Clone() *Observations {
+	clone := *o
+	clone.byTarget = maps.Clone(o.byTarget)
+	clone.timeline.samples = slices.Clone(o.timeline.samples)
 	return &clone
 }
 
-// Fingerprint tells copies apart by what they know of terms and positions.
-func (f *Observations) Fingerprint() string {
-	parts := []string{f.confirmed.String(), f.history.String()}
-	for _, fact := range f.All() {
-		parts = append(parts, string(fact.Target)+"="+fact.Status.Fingerprint())
+// Fingerprint differs between copies whose terms or positions differ.
+func (o *Observations) Fingerprint() string {
+	parts := []string{o.confirmed.String(), o.history.String()}
+	for _, ob := range o.All() {
+		parts = append(parts, string(ob.Target)+"="+ob.Status.Fingerprint())
 	}
 	return strings.Join(parts, ";")
 }
--- a/pkg/rosegroup/leadership.go
+++ b/pkg/rosegroup/leadership.go
@@ -8,274 +8,282 @@
 )
 
 const (
-	// PrimaryLeaseTime is how long after a witness was asked its word may be
-	// relied on. Who promotes waits as long after its last fence.
+	// PrimaryLeaseTime is how long the status of an unfenced replica proves,
+	// from the time it was requested, that the primary was not replaced. A
+	// promotion waits as long after its last fence.
 	PrimaryLeaseTime = 900 * time.Millisecond
-	// witnessSeason is how long a replica has to be seen without a fence
-	// before its word alone is enough: a restart ends a fence, and a
-	// promotion that was ordered before it takes effect within this time.
-	witnessSeason = 1200 * time.Millisecond
-	// floorMemory is how long positions of the primary are kept; classes
+	// minUnfencedTime is how long a replica must have been unfenced before its
+	// status alone extends the primary lease: a restart ends a fence, and a
+	// promotion that was ordered before the restart takes effect within this
+	// time.
+	minUnfencedTime = 1200 * time.Millisecond
+	// positionRetention is how long positions of the primary are kept. Classes
 	// that accept older data are served as if they accepted this age.
-	floorMemory = 10 * time.Second
-	// floorSpacing thins the positions kept.
-	floorSpacing = 20 * time.Millisecond
+	positionRetention = 10 * time.Second
+	// minPositionInterval separates the positions kept, to limit their number.
+	minPositionInterval = 20 * time.Millisecond
 )
 
-// Leadership tells who leads a group whose primary is replaced by others'
-// order, and until when that may be relied on. A promotion fences every
-// replica and then waits PermissionTime, so a replica that was seen without a
-// fence less than PermissionTime ago proves that no promotion has taken
-// effect. It isn't safe for concurrent use, and it knows only the times that
-// it is given; they must come from a clock that counts suspended time.
+// Leadership tracks the primary of a group whose promotions are ordered by
+// other processes, and how long this process may rely on it: the primary
+// lease. A promotion fences every replica and then waits PrimaryLeaseTime, so
+// a replica that was unfenced less than PrimaryLeaseTime ago proves that no
+// promotion has taken effect. Leadership isn't safe for concurrent use. It reads
+// no clock; the times passed in must come from one that counts suspended time.
 type Leadership struct {
-	seats map[rosemary.TargetID]*seat
-	term  uint64
-	marks []mark
-	// barred is the newest term that isn't to be relied on any more.
-	barred uint64
+	targets   map[rosemary.TargetID]*targetState
+	term      uint64
+	positions []timedPosition
+	// revokedTerm is the highest term whose primary must no longer be used.
+	revokedTerm uint64
 }
 
-// seat is what is known of one target.
-type seat struct {
+// targetState is what is known of one target.
+type targetState struct {
 	status rosemary.Status
 	sentAt time.Time
 	seen   bool
-	// freeSince is since when the target was seen without a fence.
-	freeSince time.Time
+	// unfencedSince is since when the target has been unfenced without a
+	// possible restart; zero if it is fenced or that isn't known.
+	unfencedSince time.Time
 }
 
-// mark is a position that the primary had passed at a time.
-type mark struct {
+// timedPosition is a position that the primary had reached at a time.
+type timedPosition struct {
 	at       time.Time
 	position rosemary.Position
 }
 
-// NewLeadership returns a leadership that knows no target.
+// NewLeadership returns a Leadership without targets.
 func NewLeadership() *Leadership {
-	return &Leadership{seats: make(map[rosemary.TargetID]*seat)}
+	return &Leadership{targets: make(map[rosemary.TargetID]*targetState)}
 }
 
-// SetTargets replaces the targets of the group. What is known of those that
-// stay is kept.
+// SetTargets replaces the targets of the group, and keeps the state of those
+// that stay.
 func (l *Leadership) SetTargets(ids []rosemary.TargetID) {
-	seats := make(map[rosemary.TargetID]*seat, len(ids))
+	targets := make(map[rosemary.TargetID]*targetState, len(ids))
 	for _, id := range ids {
-		if s := l.seats[id]; s != nil {
-			seats[id] = s
+		if s := l.targets[id]; s != nil {
+			targets[id] = s
 		} else {
-			seats[id] = &seat{}
+			targets[id] = &targetState{}
 		}
 	}
-	l.seats = seats
+	l.targets = targets
 }
 
-// Observe takes in a status that was asked for at sentAt.
+// Observe records a status that was requested at sentAt.
 func (l *Leadership) Observe(status rosemary.Status, sentAt time.Time) {
-	s := l.seats[status.Target]
+	s := l.targets[status.Target]
 	if s == nil || s.seen && sentAt.Before(s.sentAt) {
 		return
 	}
-	fence := s.fence()
+	fencedTerm := s.fencedTerm()
 	s.status, s.sentAt, s.seen = status, sentAt, true
 	l.term = max(l.term, status.Term, status.Position.LogTerm)
 	switch {
-	case !s.free():
-		s.freeSince = time.Time{}
-	case s.freeSince.IsZero() && fence > 0 && status.Term >= fence:
-		// The term of its fence has begun, so the fence isn't lost.
-		s.freeSince = sentAt.Add(-witnessSeason)
-	case s.freeSince.IsZero():
-		s.freeSince = sentAt
+	case !s.unfenced():
+		s.unfencedSince = time.Time{}
+	case s.unfencedSince.IsZero() && fencedTerm > 0 && status.Term >= fencedTerm:
+		// The fence ended because its term began, not by a restart.
+		s.unfencedSince = sentAt.Add(-minUnfencedTime)
+	case s.unfencedSince.IsZero():
+		s.unfencedSince = sentAt
 	}
 }
 
-// SharedStatus is a status with the time at which it was asked for, and since when
-// the target had then been seen without a fence.
+// SharedStatus is a status that one proxy passes on to another, with the time
+// at which it was requested and since when the target was unfenced.
 type SharedStatus struct {
 	Status        rosemary.Status
 	SentAt        time.Time
 	UnfencedSince time.Time
 }
 
-// RecentStatuses returns the statuses asked for since a time.
+// RecentStatuses returns the statuses requested at or after since.
 func (l *Leadership) RecentStatuses(since time.Time) []SharedStatus {
 	var shared []SharedStatus
-	for _, s := range l.seats {
+	for _, s := range l.targets {
 		if s.seen && !s.sentAt.Before(since) {
-			shared = append(shared, SharedStatus{s.status, s.sentAt, s.freeSince})
+			shared = append(shared, SharedStatus{s.status, s.sentAt, s.unfencedSince})
 		}
 	}
 	return shared
 }
 
-// ObserveShared takes in a status that another proxy has asked for. Of both
-// proxies' words on a restart of the target the later one counts.
+// ObserveShared records a status that another proxy has requested. If the two
+// proxies differ on since when the target is unfenced, the later time counts:
+// one of them may have noticed a restart.
 func (l *Leadership) ObserveShared(shared SharedStatus) {
-	s := l.seats[shared.Status.Target]
+	s := l.targets[shared.Status.Target]
 	if s == nil || s.seen && shared.SentAt.Before(s.sentAt) {
 		return
 	}
 	l.Observe(shared.Status, shared.SentAt)
-	if !s.free() || shared.UnfencedSince.IsZero() {
+	if !s.unfenced() || shared.UnfencedSince.IsZero() {
 		return
 	}
-	known := s.sentAt.Sub(s.freeSince) > 0
-	if !known || shared.UnfencedSince.After(s.freeSince) {
-		s.freeSince = shared.UnfencedSince
+	measured := s.sentAt.Sub(s.unfencedSince) > 0
+	if !measured || shared.UnfencedSince.After(s.unfencedSince) {
+		s.unfencedSince = shared.UnfencedSince
 	}
 }
 
-// fence is the term that the target was last seen fenced for, zero for none
-// or if it may have restarted since.
-func (s *seat) fence() uint64 {
+// fencedTerm returns the term that the target was last known to be fenced for;
+// zero if none, or if the target may have restarted since.
+func (s *targetState) fencedTerm() uint64 {
 	if !s.seen {
 		return 0
 	}
 	return s.status.PausedTerm
 }
 
-// free reports whether the target is a replica that isn't fenced.
-func (s *seat) free() bool {
+// unfenced reports whether the target is a replica that isn't fenced.
+func (s *targetState) unfenced() bool {
 	return s.seen && s.status.Role == rosemary.RoleReplica && s.status.PausedTerm == 0
 }
 
-// ObserveNotPrimary records that a target refused work that only a primary takes.
+// ObserveNotPrimary records that a target refused work because it isn't the
+// primary.
 func (l *Leadership) ObserveNotPrimary(id rosemary.TargetID) {
-	if s := l.seats[id]; s != nil {
+	if s := l.targets[id]; s != nil {
 		s.status.Role = rosemary.RoleReplica
 	}
 }
 
-// RevokePrimary gives up the permission to rely on the primary of term and of earlier
-// ones, as somebody is about to replace it.
-func (l *Leadership) RevokePrimary(term uint64) { l.barred = max(l.barred, term) }
+// RevokePrimary ends the lease on the primaries of term and of earlier terms,
+// because a replacement is under way.
+func (l *Leadership) RevokePrimary(term uint64) { l.revokedTerm = max(l.revokedTerm, term) }
 
-// ObservePossibleRestart records that a target may have restarted: its pause, if it had one,
-// may be over.
+// ObservePossibleRestart records that a target may have restarted, which would
+// have ended its fence.
 func (l *Leadership) ObservePossibleRestart(id rosemary.TargetID) {
-	if s := l.seats[id]; s != nil {
-		s.freeSince = time.Time{}
+	if s := l.targets[id]; s != nil {
+		s.unfencedSince = time.Time{}
 		s.seen = false
 	}
 }
 
-// PrimaryLease is who leads a group.
+// PrimaryLease is the primary of a group and how long it may be relied on.
 type PrimaryLease struct {
 	Target rosemary.TargetID
 	Term   uint64
-	// Until is when the permission to rely on it ends.
+	// ValidUntil is the time before which no other target has taken over.
 	ValidUntil time.Time
 }
 
-// Primary returns the primary of the newest term, and until when it is certain
-// that no other has taken over. It reports false when no primary is known.
+// Primary returns the primary of the newest term with its lease, which may have
+// ended. It reports false when no primary is known.
 func (l *Leadership) Primary() (PrimaryLease, bool) {
-	for id, s := range l.seats {
+	for id, s := range l.targets {
 		if s.status.Role != rosemary.RolePrimary || s.status.Term != l.term || l.term == 0 {
 			continue
 		}
-		lead := PrimaryLease{Target: id, Term: l.term}
-		if l.term > l.barred {
-			lead.ValidUntil = l.until(id)
+		lease := PrimaryLease{Target: id, Term: l.term}
+		if l.term > l.revokedTerm {
+			lease.ValidUntil = l.leaseEnd(id)
 		}
-		return lead, true
+		return lease, true
 	}
 	return PrimaryLease{}, false
 }
 
-// until returns the end of the permission to use primary.
-func (l *Leadership) until(primary rosemary.TargetID) time.Time {
-	var best, least time.Time
-	witnesses, free := 0, 0
-	for id, s := range l.seats {
+// leaseEnd returns when the lease on primary ends. The lease starts at the newest
+// status of a replica that has been unfenced for minUnfencedTime or, if all
+// replicas are unfenced and that is later, at the oldest of their statuses.
+func (l *Leadership) leaseEnd(primary rosemary.TargetID) time.Time {
+	var provenAt, oldest time.Time
+	replicas, unfenced := 0, 0
+	for id, s := range l.targets {
 		if id == primary {
 			continue
 		}
-		witnesses++
-		if !s.free() || s.freeSince.IsZero() || s.status.Term > l.term {
+		replicas++
+		if !s.unfenced() || s.unfencedSince.IsZero() || s.status.Term > l.term {
 			continue
 		}
-		free++
-		if least.IsZero() || s.sentAt.Before(least) {
-			least = s.sentAt
+		unfenced++
+		if oldest.IsZero() || s.sentAt.Before(oldest) {
+			oldest = s.sentAt
 		}
-		if s.sentAt.Sub(s.freeSince) >= witnessSeason && s.sentAt.After(best) {
-			best = s.sentAt
+		if s.sentAt.Sub(s.unfencedSince) >= minUnfencedTime && s.sentAt.After(provenAt) {
+			provenAt = s.sentAt
 		}
 	}
-	if witnesses == 0 {
-		// Nothing else can be promoted.
-		return l.seats[primary].sentAt.Add(PrimaryLeaseTime)
+	if replicas == 0 {
+		// There is no other target to promote.
+		return l.targets[primary].sentAt.Add(PrimaryLeaseTime)
 	}
-	if free == witnesses && least.After(best) {
-		best = least
+	if unfenced == replicas && oldest.After(provenAt) {
+		provenAt = oldest
 	}
-	if best.IsZero() {
-		return best
+	if provenAt.IsZero() {
+		return provenAt
 	}
-	return best.Add(PrimaryLeaseTime)
+	return provenAt.Add(PrimaryLeaseTime)
 }
 
-// IsPrimary reports whether at now the target is certain to lead term.
+// IsPrimary reports whether the target is certain to be the primary of term at
+// now.
 func (l *Leadership) IsPrimary(id rosemary.TargetID, term uint64, now time.Time) bool {
-	lead, known := l.Primary()
-	return known && lead.Target == id && lead.Term == term && now.Before(lead.ValidUntil)
+	lease, known := l.Primary()
+	return known && lease.Target == id && lease.Term == term && now.Before(lease.ValidUntil)
 }
 
-// ObservePosition records that the primary of term had reached position when it was
-// asked at sentAt, if it is certain at now to lead still.
+// ObservePosition records that the primary of term had reached position in a
+// status requested at sentAt, if it is certain to be the primary at now.
 func (l *Leadership) ObservePosition(id rosemary.TargetID, term uint64, position rosemary.Position, sentAt, now time.Time) {
 	if position.IsZero() || !l.IsPrimary(id, term, now) {
 		return
 	}
-	size := len(l.marks)
-	if size > 0 && sentAt.Sub(l.marks[size-1].at) < floorSpacing {
+	size := len(l.positions)
+	if size > 0 && sentAt.Sub(l.positions[size-1].at) < minPositionInterval {
 		return
 	}
-	l.marks = append(l.marks, mark{at: sentAt, position: position})
-	old := 0
-	for old < len(l.marks) && now.Sub(l.marks[old].at) > floorMemory {
-		old++
+	l.positions = append(l.positions, timedPosition{at: sentAt, position: position})
+	expired := 0
+	for expired < len(l.positions) && now.Sub(l.positions[expired].at) > positionRetention {
+		expired++
 	}
-	l.marks = l.marks[old:]
+	l.positions = l.positions[expired:]
 }
 
-// MinPosition returns a position that holds every commit acknowledged before since:
-// the least one known. It reports false when none is known.
+// MinPosition returns the lowest known position that includes every commit
+// acknowledged before since. It reports false when none is known.
 func (l *Leadership) MinPosition(since time.Time) (rosemary.Position, bool) {
-	for _, m := range l.marks {
-		if !m.at.Before(since) {
-			return m.position, true
+	for _, p := range l.positions {
+		if !p.at.Before(since) {
+			return p.position, true
 		}
 	}
 	return rosemary.Position{}, false
 }
 
-// ReachedAt returns when the primary was first known to be at position or beyond
-// it; zero if it wasn't yet.
+// ReachedAt returns when the primary was first known to have reached position;
+// zero if it isn't known to have.
 func (l *Leadership) ReachedAt(position rosemary.Position) time.Time {
-	at := sort.Search(len(l.marks), func(i int) bool { return l.marks[i].position.AtLeast(position) })
-	if at == len(l.marks) {
+	i := sort.Search(len(l.positions), func(n int) bool { return l.positions[n].position.AtLeast(position) })
+	if i == len(l.positions) {
 		return time.Time{}
 	}
-	return l.marks[at].at
+	return l.positions[i].at
 }
 
 // Lag returns how far behind the primary a replica was that had applied
-// position at the time at.
+// position at the given time.
 func (l *Leadership) Lag(position rosemary.Position, at time.Time) time.Duration {
-	next := sort.Search(len(l.marks), func(i int) bool { return l.marks[i].position.Compare(position) > 0 })
-	if next == len(l.marks) {
+	next := sort.Search(len(l.positions), func(n int) bool { return l.positions[n].position.Compare(position) > 0 })
+	if next == len(l.positions) {
 		return 0
 	}
-	return max(at.Sub(l.marks[next].at), 0)
+	return max(at.Sub(l.positions[next].at), 0)
 }
 
-// Status returns what is known of a target, when it was asked for, and
-// whether anything is known.
+// Status returns the newest status of a target, when it was requested, and
+// whether there is one.
 func (l *Leadership) Status(id rosemary.TargetID) (rosemary.Status, time.Time, bool) {
-	s := l.seats[id]
+	s := l.targets[id]
 	if s == nil || !s.seen {
 		return rosemary.Status{}, time.Time{}, false
 	}
--- a/pkg/rosegroup/permission_explore_test.go
+++ b/pkg/rosegroup/permission_explore_test.go
@@ -10,190 +10,192 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// The exploration steps through every interleaving of a replacement by the
-// platform's order with a proxy that samples the replicas: slow answers,
-// restarts of replicas that end a fence, and a promotion that takes effect late.
+// The exploration steps through the interleavings of a promotion ordered from
+// the platform with a proxy that samples the replicas: slow answers, restarts of
+// replicas that end a fence, and a promotion that takes effect late.
 
 const (
-	// exploreTick is the unit of time of the model.
-	exploreTick = 300 * time.Millisecond
-	// exploreTicks is how long a history is.
-	exploreTicks = 8
-	// fenceWait is the promoter's wait, PermissionTime in ticks.
-	fenceWait = int(PrimaryLeaseTime / exploreTick)
-	// slowestPromotion is the greatest time from an order to its effect.
-	slowestPromotion = 3
-	// exploreRestarts bounds the restarts of replicas.
-	exploreRestarts = 1
+	// tickDuration is the unit of time of the model.
+	tickDuration = 300 * time.Millisecond
+	// maxTicks is the length of a history.
+	maxTicks = 8
+	// leaseTicks is the promoter's wait, PrimaryLeaseTime in ticks.
+	leaseTicks = int(PrimaryLeaseTime / tickDuration)
+	// maxPromotionTicks is the longest time from an order to its effect.
+	maxPromotionTicks = 3
+	// maxRestarts is the number of restarts of replicas in a history.
+	maxRestarts = 1
 )
 
-// promoterRules are what the promoter does; the zero value breaks all of them.
-type promoterRules struct {
-	waits  bool
-	checks bool
+// promoterSafeguards are the steps that a promoter must not leave out; the zero
+// value leaves out all of them.
+type promoterSafeguards struct {
+	waitsForLease  bool
+	rechecksFences bool
 }
 
-// exploration is one state of the model.
-type exploration struct {
+// modelState is one state of the model.
+type modelState struct {
 	now int
-	// held is set for each replica that is fenced.
-	held [2]bool
-	// fencedAt is when the promoter fenced the last one; -1 before.
+	// fenced is set for each replica that is fenced.
+	fenced [2]bool
+	// fencedAt is when the promoter fenced the last replica; -1 before.
 	fencedAt int
-	// checkedAt is when the promoter has seen both fences again; -1 before.
-	checkedAt int
-	// effectAt is when the promotion takes effect; -1 before the order.
-	effectAt int
-	restarts int
+	// recheckedAt is when the promoter checked both fences again; -1 before.
+	recheckedAt int
+	// promotedAt is when the promotion takes effect; -1 before the order.
+	promotedAt int
+	restarts   int
 	// restarted is set for a replica whose restart the proxy has not noticed.
 	restarted [2]bool
-	// asked is a question under way: its replica, when it was sent, and the
-	// answer once the replica has given it.
-	asked    int
-	askedAt  int
-	answered bool
-	answer   report
-	proxy    *Leadership
+	// queried is the replica of the status request under way, -1 for none;
+	// queriedAt is when it was sent, and response the replica's, if answered.
+	queried    int
+	queriedAt  int
+	answered   bool
+	response   replicaState
+	leadership *Leadership
 }
 
-var exploreReplicas = [2]rosemary.TargetID{"r-1", "r-2"}
+var modelReplicas = [2]rosemary.TargetID{"r-1", "r-2"}
 
-func at(tick int) time.Time { return time.Unix(1000, 0).Add(time.Duration(tick) * exploreTick) }
+func at(tick int) time.Time { return time.Unix(1000, 0).Add(time.Duration(tick) * tickDuration) }
 
-// report is what a replica says of itself. A replica follows the new primary,
-// and tells its term, as soon as the promotion has taken effect.
-type report struct {
-	held     bool
+// replicaState is what a replica reports. It follows the new primary, and reports
+// its term, as soon as the promotion has taken effect.
+type replicaState struct {
+	fenced   bool
 	promoted bool
 }
 
-func (r report) status(id rosemary.TargetID) rosemary.Status {
+func (r replicaState) status(id rosemary.TargetID) rosemary.Status {
 	status := rosemary.Status{Target: id, Role: rosemary.RoleReplica, Term: 1, Position: rosemary.Position{LogTerm: 1, Offset: 1}}
 	switch {
 	case r.promoted:
 		status.Term = 2
-	case r.held:
+	case r.fenced:
 		status.PausedTerm = 2
 	}
 	return status
 }
 
-func firstState() exploration {
+func initialState() modelState {
 	l := NewLeadership()
-	l.SetTargets([]rosemary.TargetID{"p", exploreReplicas[0], exploreReplicas[1]})
+	l.SetTargets([]rosemary.TargetID{"p", modelReplicas[0], modelReplicas[1]})
 	l.Observe(rosemary.Status{Target: "p", Role: rosemary.RolePrimary, Term: 1, Position: rosemary.Position{LogTerm: 1, Offset: 1}}, at(0))
-	for _, id := range exploreReplicas {
-		l.ObserveShared(SharedStatus{Status: report{}.status(id), SentAt: at(0), UnfencedSince: at(-10)})
+	for _, id := range modelReplicas {
+		l.ObserveShared(SharedStatus{Status: replicaState{}.status(id), SentAt: at(0), UnfencedSince: at(-10)})
 	}
-	return exploration{fencedAt: -1, checkedAt: -1, effectAt: -1, asked: -1, proxy: l}
+	return modelState{fencedAt: -1, recheckedAt: -1, promotedAt: -1, queried: -1, leadership: l}
 }
 
-func (e exploration) with(change func(*exploration)) exploration {
-	l := *e.proxy
-	l.seats = make(map[rosemary.TargetID]*seat, len(e.proxy.seats))
-	for id, s := range e.proxy.seats {
-		kept := *s
-		l.seats[id] = &kept
+// with returns a copy of the state with a change applied.
+func (m modelState) with(change func(*modelState)) modelState {
+	l := *m.leadership
+	l.targets = make(map[rosemary.TargetID]*targetState, len(m.leadership.targets))
+	for id, s := range m.leadership.targets {
+		copied := *s
+		l.targets[id] = &copied
 	}
-	e.proxy = &l
-	change(&e)
-	return e
+	m.leadership = &l
+	change(&m)
+	return m
 }
 
-func (e exploration) key() string {
-	text := fmt.Sprint(e.now, e.held, e.fencedAt, e.checkedAt, e.effectAt, e.restarts, e.restarted, e.asked, e.askedAt, e.answered, e.answer)
-	for _, id := range exploreReplicas {
-		s := e.proxy.seats[id]
-		text += fmt.Sprint(" ", s.seen, s.status.PausedTerm, s.status.Term, s.sentAt.UnixMilli(), s.freeSince.UnixMilli())
+func (m modelState) key() string {
+	text := fmt.Sprint(m.now, m.fenced, m.fencedAt, m.recheckedAt, m.promotedAt, m.restarts, m.restarted, m.queried, m.queriedAt, m.answered, m.response)
+	for _, id := range modelReplicas {
+		s := m.leadership.targets[id]
+		text += fmt.Sprint(" ", s.seen, s.status.PausedTerm, s.status.Term, s.sentAt.UnixMilli(), s.unfencedSince.UnixMilli())
 	}
 	return text
 }
 
-// steps returns what may happen next.
-func (e exploration) steps(rules promoterRules) []exploration {
-	next := []exploration{e.with(func(n *exploration) { n.now++ })}
-	for r := range exploreReplicas {
-		if e.asked < 0 {
-			next = append(next, e.with(func(n *exploration) { n.asked, n.askedAt, n.answered = r, n.now, false }))
+// steps returns the possible next states.
+func (m modelState) steps(safeguards promoterSafeguards) []modelState {
+	next := []modelState{m.with(func(n *modelState) { n.now++ })}
+	for r := range modelReplicas {
+		if m.queried < 0 {
+			next = append(next, m.with(func(n *modelState) { n.queried, n.queriedAt, n.answered = r, n.now, false }))
 		}
-		if !e.held[r] && e.effectAt < 0 {
-			next = append(next, e.with(func(n *exploration) {
-				n.held[r], n.checkedAt = true, -1
-				if n.held[0] && n.held[1] {
+		if !m.fenced[r] && m.promotedAt < 0 {
+			next = append(next, m.with(func(n *modelState) {
+				n.fenced[r], n.recheckedAt = true, -1
+				if n.fenced[0] && n.fenced[1] {
 					n.fencedAt = n.now
 				}
 			}))
 		}
-		if e.held[r] && e.restarts < exploreRestarts {
-			next = append(next, e.with(func(n *exploration) { n.restart(r) }))
+		if m.fenced[r] && m.restarts < maxRestarts {
+			next = append(next, m.with(func(n *modelState) { n.restart(r) }))
 		}
 	}
-	if e.asked >= 0 && !e.answered {
-		next = append(next, e.with(func(n *exploration) { n.answered, n.answer = true, report{n.held[n.asked], n.promoted()} }))
+	if m.queried >= 0 && !m.answered {
+		next = append(next, m.with(func(n *modelState) { n.answered, n.response = true, replicaState{n.fenced[n.queried], n.promoted()} }))
 	}
-	if e.asked >= 0 && e.answered {
-		next = append(next, e.with(func(n *exploration) {
-			if n.restarted[n.asked] {
-				// The question went over a new link.
-				n.restarted[n.asked] = false
-				n.proxy.ObservePossibleRestart(exploreReplicas[n.asked])
+	if m.queried >= 0 && m.answered {
+		next = append(next, m.with(func(n *modelState) {
+			if n.restarted[n.queried] {
+				// The request was sent on a new connection.
+				n.restarted[n.queried] = false
+				n.leadership.ObservePossibleRestart(modelReplicas[n.queried])
 			}
-			n.proxy.Observe(n.answer.status(exploreReplicas[n.asked]), at(n.askedAt))
-			n.asked = -1
+			n.leadership.Observe(n.response.status(modelReplicas[n.queried]), at(n.queriedAt))
+			n.queried = -1
 		}))
 	}
-	return append(next, e.promoterSteps(rules)...)
+	return append(next, m.promoterSteps(safeguards)...)
 }
 
-func (e exploration) promoted() bool { return e.effectAt >= 0 && e.now >= e.effectAt }
+func (m modelState) promoted() bool { return m.promotedAt >= 0 && m.now >= m.promotedAt }
 
-// restart ends a replica's fence and the links to it.
-func (e *exploration) restart(replica int) {
-	e.held[replica], e.restarted[replica] = false, true
-	e.restarts++
-	if e.asked == replica {
-		e.asked = -1
+// restart ends a replica's fence and the connections to it.
+func (m *modelState) restart(replica int) {
+	m.fenced[replica], m.restarted[replica] = false, true
+	m.restarts++
+	if m.queried == replica {
+		m.queried = -1
 	}
 }
 
-// promoterSteps returns the promoter's: it waits, looks at the fences again,
-// and orders.
-func (e exploration) promoterSteps(rules promoterRules) []exploration {
-	waited := e.fencedAt >= 0 && (!rules.waits || e.now-e.fencedAt >= fenceWait)
-	if !waited || e.effectAt >= 0 {
+// promoterSteps returns the next states by a step of the promoter: it waits,
+// checks the fences again, and orders the promotion.
+func (m modelState) promoterSteps(safeguards promoterSafeguards) []modelState {
+	waited := m.fencedAt >= 0 && (!safeguards.waitsForLease || m.now-m.fencedAt >= leaseTicks)
+	if !waited || m.promotedAt >= 0 {
 		return nil
 	}
-	if rules.checks && (e.checkedAt < 0 || e.now > e.checkedAt) {
-		if !e.held[0] || !e.held[1] {
+	if safeguards.rechecksFences && (m.recheckedAt < 0 || m.now > m.recheckedAt) {
+		if !m.fenced[0] || !m.fenced[1] {
 			return nil
 		}
-		return []exploration{e.with(func(n *exploration) { n.checkedAt = n.now })}
+		return []modelState{m.with(func(n *modelState) { n.recheckedAt = n.now })}
 	}
-	return []exploration{
-		e.with(func(n *exploration) { n.effectAt = n.now + 1 }),
-		e.with(func(n *exploration) { n.effectAt = n.now + slowestPromotion }),
+	return []modelState{
+		m.with(func(n *modelState) { n.promotedAt = n.now + 1 }),
+		m.with(func(n *modelState) { n.promotedAt = n.now + maxPromotionTicks }),
 	}
 }
 
-// broken reports whether the proxy relies on the primary after the promotion
+// violated reports whether the proxy relies on the primary after the promotion
 // has taken effect.
-func (e exploration) broken() bool {
-	return e.promoted() && e.proxy.IsPrimary("p", 1, at(e.now))
+func (m modelState) violated() bool {
+	return m.promoted() && m.leadership.IsPrimary("p", 1, at(m.now))
 }
 
-// explore returns the number of states, and the first that is broken.
-func explore(rules promoterRules, most int) (int, *exploration) {
+// explore returns the number of states visited, and the first violation.
+func explore(safeguards promoterSafeguards, limit int) (int, *modelState) {
 	seen := map[string]bool{}
-	stack := []exploration{firstState()}
-	for len(stack) > 0 && len(seen) < most {
-		e := stack[len(stack)-1]
+	stack := []modelState{initialState()}
+	for len(stack) > 0 && len(seen) < limit {
+		m := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if e.broken() {
-			return len(seen), &e
+		if m.violated() {
+			return len(seen), &m
 		}
-		for _, n := range e.steps(rules) {
+		for _, n := range m.steps(safeguards) {
 			key := n.key()
-			if n.now <= exploreTicks && !seen[key] {
+			if n.now <= maxTicks && !seen[key] {
 				seen[key] = true
 				stack = append(stack, n)
 			}
@@ -202,33 +204,34 @@
 	return len(seen), nil
 }
 
-// exploreMost bounds the states, which aren't the whole space.
-const exploreMost = 60_000
+// maxStates limits the exploration to a part of the state space.
+const maxStates = 60_000
 
 func TestNoPermissionOutlivesAPromotion(t *testing.T) {
-	states, broken := explore(promoterRules{waits: true, checks: true}, exploreMost)
+	states, violated := explore(promoterSafeguards{waitsForLease: true, rechecksFences: true}, maxStates)
 	t.Logf("%d states", states)
-	qt.Check(t, broken == nil, qt.IsTrue, qt.Commentf("%+v", broken))
+	qt.Check(t, violated == nil, qt.IsTrue, qt.Commentf("%+v", violated))
 }
 
-// A promoter that doesn't wait for permissions to end is found.
-func TestHastyPromoterIsFound(t *testing.T) {
-	states, broken := explore(promoterRules{checks: true}, exploreMost)
+// The exploration must find the fault of a promoter that doesn't wait for primary
+// leases to end.
+func TestExplorationFindsPromoterThatDoesNotWait(t *testing.T) {
+	states, violated := explore(promoterSafeguards{rechecksFences: true}, maxStates)
 	t.Logf("%d states", states)
-	qt.Check(t, broken != nil, qt.IsTrue)
+	qt.Check(t, violated != nil, qt.IsTrue)
 }
 
-// TestNoPermissionOutlivesALateOrder replays a replacement whose order has its
-// effect five ticks after the look at the fences. It is listed in
-// KNOWN-RED.txt.
+// TestNoPermissionOutlivesALateOrder replays a promotion that takes effect five
+// ticks after the fences were checked again, by when a restarted replica extends
+// the old primary's lease. It is listed in KNOWN-RED.txt.
 func TestNoPermissionOutlivesALateOrder(t *testing.T) {
-	const looked, effect = fenceWait, fenceWait + 5
-	e := firstState()
-	e.held = [2]bool{true, true}
-	e.restart(1)
-	e.proxy.ObservePossibleRestart(exploreReplicas[1])
-	for _, asked := range []int{looked, effect - 1} {
-		e.proxy.Observe(report{}.status(exploreReplicas[1]), at(asked))
+	const recheckedAt, promotedAt = leaseTicks, leaseTicks + 5
+	m := initialState()
+	m.fenced = [2]bool{true, true}
+	m.restart(1)
+	m.leadership.ObservePossibleRestart(modelReplicas[1])
+	for _, sentAt := range []int{recheckedAt, promotedAt - 1} {
+		m.leadership.Observe(replicaState{}.status(modelReplicas[1]), at(sentAt))
 	}
-	qt.Check(t, e.proxy.IsPrimary("p", 1, at(effect)), qt.IsFalse)
+	qt.Check(t, m.leadership.IsPrimary("p", 1, at(promotedAt)), qt.IsFalse)
 }
--- a/pkg/rosegroup/reach.go
+++ b/pkg/rosegroup/reach.go
@@ -5,7 +5,7 @@
 	"syscall"
 )
 
-// isRefused reports whether err is the answer of a VM where nothing listens.
+// isRefused reports whether the VM answered that no process listens on the port.
 func isRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
