--- a/pkg/rosefleet/group.go
+++ b/pkg/rosefleet/group.go
@@ -1,5 +1,6 @@
-// Package rosefleet keeps the targets of a group at hand: it samples who leads
-// them, holds links to them, and chooses which one runs a statement.
+// Package rosefleet manages the targets of a group: it samples their statuses to
+// find the primary, pools connections to them, and chooses which one runs a
+// statement.
 package rosefleet
 
 import (
@@ -20,62 +21,62 @@
 // Config sets up a Group.
 type Config struct {
 	Name string
-	// Zone is that of this proxy; targets in it are preferred.
+	// Zone is the zone of this proxy; targets in it are preferred.
 	Zone   rosemary.Zone
 	Dialer rosemary.TargetDialer
-	// Clock counts suspended time.
+	// Clock must count suspended time.
 	Clock roseclock.Clock
-	// Trusted reports whether this proxy may rely on a primary at all; nil
-	// means always.
+	// AllowPrimary reports whether this proxy may rely on a primary at all;
+	// nil means always.
 	AllowPrimary func() bool
-	// CutOff reports whether this proxy knows that it is cut off from the
-	// other availability zones: what it can't serve at once it refuses at
-	// once, as others can. Nil means never.
+	// ZonePartitioned reports whether this proxy knows that it is cut off from
+	// the other availability zones. It then refuses at once what it can't serve
+	// at once, since other proxies can serve it. Nil means never.
 	ZonePartitioned func() bool
 }
 
-// Group is the targets of one group as this proxy uses them. Its methods may
-// be called concurrently.
+// Group holds the targets of one group. Its methods may be called concurrently.
 type Group struct {
 	config Config
 	tasks  sync.WaitGroup
 
-	mu         sync.Mutex
-	leadership *rosegroup.Leadership
-	places     map[rosemary.TargetID]*place
-	changed    chan struct{}
-	leadSince  time.Time
-	closed     bool
+	mu           sync.Mutex
+	leadership   *rosegroup.Leadership
+	endpoints    map[rosemary.TargetID]*endpoint
+	changed      chan struct{}
+	primarySince time.Time
+	closed       bool
 }
 
-// place is one target with its links.
-type place struct {
-	group  *Group
-	target rosemary.Target
-	pool   *pool
-	wake   chan struct{}
-	cancel context.CancelFunc
-
-	// The fields below are under the group's lock.
-	slots   int
-	born    int64
-	leaving bool
-	// leavingSince is when the target was first seen to be leaving.
+// endpoint is one target with its connections.
+type endpoint struct {
+	group          *Group
+	target         rosemary.Target
+	pool           *pool
+	sampleRequests chan struct{}
+	cancel         context.CancelFunc
+
+	// The fields below are guarded by the group's lock.
+	slots       int
+	incarnation int64
+	leaving     bool
+	// leavingSince is when the target was first known to be leaving.
 	leavingSince time.Time
-	// failingSince is when the target stopped answering; zero while it does.
-	failingSince time.Time
-	// refused is set when its VM answered that nothing listens.
-	refused bool
-	// behindTill is until when reads with a floor pass the target over.
-	behindTill time.Time
+	// unreachableSince is when the target stopped answering; zero while it
+	// answers.
+	unreachableSince time.Time
+	// connectionRefused is set when the target's VM answered that no process
+	// listens on the port.
+	connectionRefused bool
+	// laggingUntil is until when reads with a minimum position avoid the target.
+	laggingUntil time.Time
 	// lag is how far behind the primary the target was at lagAt.
 	lag   time.Duration
 	lagAt time.Time
-	// sharedAt is when another proxy asked for the status that was taken in
-	// last.
+	// sharedAt is when another proxy requested the last status that it shared.
 	sharedAt time.Time
-	// answerTime is the mean time of an exchange.
-	answerTime time.Duration
+	// responseTime is the mean duration of an exchange.
+	responseTime time.Duration
 }
 
 // New returns a group without targets.
@@ -89,7 +90,7 @@
 	return &Group{
 		config:     config,
 		leadership: rosegroup.NewLeadership(),
-		places:     make(map[rosemary.TargetID]*place),
+		endpoints:  make(map[rosemary.TargetID]*endpoint),
 		changed:    make(chan struct{}),
 	}
 }
@@ -97,165 +98,166 @@
 // Name returns the group's name.
 func (g *Group) Name() string { return g.config.Name }
 
-// ConnLimits bounds the links to one target.
+// ConnLimits limits the connections to one target.
 type ConnLimits struct {
-	// Share is this proxy's part of the connections that a target accepts.
+	// Share is this proxy's share of the connections that a target accepts.
 	Share int
-	// Most is the number that it may open while others leave theirs unused.
+	// Max is the number that this proxy may open while others don't use theirs.
 	Max int
 }
 
 // Update replaces the targets of the group.
-func (g *Group) Update(listings []rosemary.TargetRegistration, links ConnLimits) {
+func (g *Group) Update(listings []rosemary.TargetRegistration, limits ConnLimits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
 		return
 	}
-	listed := make(map[rosemary.TargetID]bool, len(listings))
+	registered := make(map[rosemary.TargetID]bool, len(listings))
 	ids := make([]rosemary.TargetID, 0, len(listings))
 	for _, l := range listings {
-		listed[l.ID] = true
+		registered[l.ID] = true
 		ids = append(ids, l.ID)
-		p := g.places[l.ID]
-		if p != nil && (p.target != l.Target || p.born != l.Incarnation) {
-			g.remove(p, "it has started anew")
-			p = nil
+		e := g.endpoints[l.ID]
+		if e != nil && (e.target != l.Target || e.incarnation != l.Incarnation) {
+			g.remove(e, "its registration changed")
+			e = nil
 		}
-		if p == nil {
-			p = g.add(l)
+		if e == nil {
+			e = g.add(l)
 		}
-		if l.Leaving != p.leaving {
+		if l.Leaving != e.leaving {
 			klog.InfoS("target leaving", "group", g.config.Name, "target", l.ID, "leaving", l.Leaving)
-			p.leavingSince = g.config.Clock.Now()
-			g.wakeWaiters()
+			e.leavingSince = g.config.Clock.Now()
+			g.notifyWaiters()
 		}
-		p.leaving, p.slots = l.Leaving, l.Slots
-		p.pool.setLimit(links.Share, links.Max)
-		p.pool.trim()
+		e.leaving, e.slots = l.Leaving, l.Slots
+		e.pool.setLimits(limits.Share, limits.Max)
+		e.pool.trim()
 	}
-	for id, p := range g.places {
-		if !listed[id] {
-			g.remove(p, "the platform doesn't list it any more")
+	for id, e := range g.endpoints {
+		if !registered[id] {
+			g.remove(e, "it is no longer registered")
 		}
 	}
 	g.leadership.SetTargets(ids)
 }
 
-// add starts a place. The lock is held.
-func (g *Group) add(l rosemary.TargetRegistration) *place {
+// add creates an endpoint and starts to sample it. The lock must be held.
+func (g *Group) add(l rosemary.TargetRegistration) *endpoint {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &place{
-		group:  g,
-		target: l.Target,
-		born:   l.Incarnation,
-		pool:   newPool(),
-		wake:   make(chan struct{}, 1),
-		cancel: cancel,
+	e := &endpoint{
+		group:          g,
+		target:         l.Target,
+		incarnation:    l.Incarnation,
+		pool:           newPool(),
+		sampleRequests: make(chan struct{}, 1),
+		cancel:         cancel,
 	}
-	g.places[l.ID] = p
+	g.endpoints[l.ID] = e
 	klog.InfoS("target added", "group", g.config.Name, "target", l.ID, "address", l.Address, "zone", l.Zone, "born", l.Incarnation)
-	g.tasks.Go(func() { p.sample(ctx) })
-	return p
+	g.tasks.Go(func() { e.runSampler(ctx) })
+	return e
 }
 
-// remove ends a place. The lock is held.
-func (g *Group) remove(p *place, why string) {
-	klog.InfoS("target removed", "group", g.config.Name, "target", p.target.ID, "why", why)
-	delete(g.places, p.target.ID)
-	g.leadership.ObservePossibleRestart(p.target.ID)
-	p.cancel()
-	p.pool.close()
-	g.wakeWaiters()
+// remove closes an endpoint. The lock must be held.
+func (g *Group) remove(e *endpoint, reason string) {
+	klog.InfoS("target removed", "group", g.config.Name, "target", e.target.ID, "why", reason)
+	delete(g.endpoints, e.target.ID)
+	g.leadership.ObservePossibleRestart(e.target.ID)
+	e.cancel()
+	e.pool.close()
+	g.notifyWaiters()
 }
 
-// Close ends the group.
+// Close removes all targets and waits for their goroutines.
 func (g *Group) Close() {
 	g.mu.Lock()
 	g.closed = true
-	for _, p := range g.places {
-		g.remove(p, "the group is closed")
+	for _, e := range g.endpoints {
+		g.remove(e, "the group is closed")
 	}
 	g.mu.Unlock()
 	g.tasks.Wait()
 }
 
-// wakeWaiters tells who waits for a primary to look again. The lock is held.
-func (g *Group) wakeWaiters() {
+// notifyWaiters wakes the requests that wait for a target. The lock must be held.
+func (g *Group) notifyWaiters() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// note takes in a status and tells of a change of primary.
-func (g *Group) note(p *place, status rosemary.Status, sentAt time.Time) {
+// observe records a status that was requested at sentAt.
+func (g *Group) observe(e *endpoint, status rosemary.Status, sentAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.places[p.target.ID] != p {
+	if g.endpoints[e.target.ID] != e {
 		return
 	}
 	before, _ := g.leadership.Primary()
 	g.leadership.Observe(status, sentAt)
-	p.failingSince, p.refused = time.Time{}, false
-	p.noteApplied(status.Applied, sentAt)
+	e.unreachableSince, e.connectionRefused = time.Time{}, false
+	e.observeApplied(status.Applied, sentAt)
 	if status.Role == rosemary.RolePrimary {
-		g.leadership.ObservePosition(p.target.ID, status.Term, status.Position, sentAt, g.config.Clock.Now())
+		g.leadership.ObservePosition(e.target.ID, status.Term, status.Position, sentAt, g.config.Clock.Now())
 	}
-	g.compareLead(before, "status of "+string(p.target.ID))
+	g.handlePrimaryChange(before, "status of "+string(e.target.ID))
 	now := g.config.Clock.Now()
-	if lead, ok := g.leadership.Primary(); ok && now.Before(lead.ValidUntil) && !now.Before(before.ValidUntil) {
-		g.wakeWaiters()
+	if primary, ok := g.leadership.Primary(); ok && now.Before(primary.ValidUntil) && !now.Before(before.ValidUntil) {
+		g.notifyWaiters()
 	}
 }
 
-// noteApplied takes in what a replica had applied at a time. The group's lock is
-// held.
-func (p *place) noteApplied(position rosemary.Position, at time.Time) {
+// observeApplied records the position that a replica had applied at a time. The
+// group's lock must be held.
+func (e *endpoint) observeApplied(position rosemary.Position, at time.Time) {
 	if !position.IsZero() {
-		p.lag, p.lagAt = p.group.leadership.Lag(position, at), at
+		e.lag, e.lagAt = e.group.leadership.Lag(position, at), at
 	}
 }
 
-// compareLead logs a change of primary. The lock is held.
-func (g *Group) compareLead(before rosegroup.PrimaryLease, cause string) {
-	lead, known := g.leadership.Primary()
-	if lead.Target == before.Target && lead.Term == before.Term {
+// handlePrimaryChange logs a change of primary, closes the idle connections to the
+// old one and has all targets sampled. The lock must be held.
+func (g *Group) handlePrimaryChange(before rosegroup.PrimaryLease, cause string) {
+	primary, known := g.leadership.Primary()
+	if primary.Target == before.Target && primary.Term == before.Term {
 		return
 	}
-	g.leadSince = g.config.Clock.Now()
+	g.primarySince = g.config.Clock.Now()
 	klog.InfoS("primary changed", "group", g.config.Name, "from", before.Target, "fromTerm", before.Term,
-		"to", lead.Target, "term", lead.Term, "known", known, "cause", cause)
-	for id, p := range g.places {
+		"to", primary.Target, "term", primary.Term, "known", known, "cause", cause)
+	for id, e := range g.endpoints {
 		if id == before.Target {
-			p.pool.flush()
+			e.pool.flush()
 		}
-		p.nudge()
+		e.requestSample()
 	}
-	g.wakeWaiters()
+	g.notifyWaiters()
 }
 
-// fail takes in that the target did not answer what was sent at sentAt.
-func (g *Group) fail(p *place, sentAt time.Time, err error) {
+// observeFailure records that the target did not answer a request sent at sentAt.
+func (g *Group) observeFailure(e *endpoint, sentAt time.Time, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.places[p.target.ID] != p {
+	if g.endpoints[e.target.ID] != e {
 		return
 	}
-	if p.failingSince.IsZero() {
-		p.failingSince = sentAt
-		klog.InfoS("target lost", "group", g.config.Name, "target", p.target.ID, "err", roselog.Err(err))
+	if e.unreachableSince.IsZero() {
+		e.unreachableSince = sentAt
+		klog.InfoS("target lost", "group", g.config.Name, "target", e.target.ID, "err", roselog.Err(err))
 	}
-	p.refused = errors.Is(err, syscall.ECONNREFUSED)
-	g.leadership.ObservePossibleRestart(p.target.ID)
-	p.nudge()
+	e.connectionRefused = errors.Is(err, syscall.ECONNREFUSED)
+	g.leadership.ObservePossibleRestart(e.target.ID)
+	e.requestSample()
 }
 
-// unseat forgets how long the target was seen without a fence: it may have
-// restarted.
-func (g *Group) unseat(p *place) {
+// observePossibleRestart records that the target may have restarted, which would
+// have ended its fence.
+func (g *Group) observePossibleRestart(e *endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.places[p.target.ID] == p {
-		g.leadership.ObservePossibleRestart(p.target.ID)
+	if g.endpoints[e.target.ID] == e {
+		g.leadership.ObservePossibleRestart(e.target.ID)
 	}
 }
 
@@ -263,53 +265,55 @@
 func (g *Group) SampleNow(id rosemary.TargetID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p := g.places[id]; p != nil {
-		p.nudge()
+	if e := g.endpoints[id]; e != nil {
+		e.requestSample()
 	}
 }
 
-func (p *place) nudge() {
+// requestSample has the target sampled at once.
+func (e *endpoint) requestSample() {
 	select {
-	case p.wake <- struct{}{}:
+	case e.sampleRequests <- struct{}{}:
 	default:
 	}
 }
 
-// deposed takes in that a target refused work as it doesn't lead.
-func (g *Group) deposed(p *place) {
+// observeNotPrimary records that a target refused work because it isn't the
+// primary.
+func (g *Group) observeNotPrimary(e *endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	before, known := g.leadership.Primary()
-	if !known || before.Target != p.target.ID {
+	if !known || before.Target != e.target.ID {
 		return
 	}
-	g.leadership.ObserveNotPrimary(p.target.ID)
-	g.compareLead(before, "refused by "+string(p.target.ID))
+	g.leadership.ObserveNotPrimary(e.target.ID)
+	g.handlePrimaryChange(before, "refused by "+string(e.target.ID))
 }
 
-// RevokePrimary gives up the permission to rely on the primary of term.
+// RevokePrimary ends the lease on the primaries of term and of earlier terms.
 func (g *Group) RevokePrimary(term uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leadership.RevokePrimary(term)
 	klog.InfoS("primary not relied on any more", "group", g.config.Name, "term", term)
-	for _, p := range g.places {
-		p.nudge()
+	for _, e := range g.endpoints {
+		e.requestSample()
 	}
 }
 
-// CheckReachable asks a target for its status now, and reports whether it answers,
-// and whether that is known before ctx ends.
+// CheckReachable requests the status of a target now, and reports whether it
+// answers, and whether that is known before ctx ends.
 func (g *Group) CheckReachable(ctx context.Context, id rosemary.TargetID) (answers, known bool) {
 	g.mu.Lock()
-	p := g.places[id]
-	failing := p != nil && !p.failingSince.IsZero()
+	e := g.endpoints[id]
+	unreachable := e != nil && !e.unreachableSince.IsZero()
 	g.mu.Unlock()
-	if p == nil || failing {
-		return false, failing
+	if e == nil || unreachable {
+		return false, unreachable
 	}
 	sampled := make(chan bool, 1)
-	g.tasks.Go(func() { sampled <- p.sampleOnce(ctx) })
+	g.tasks.Go(func() { sampled <- e.sampleOnce(ctx) })
 	select {
 	case answers = <-sampled:
 		return answers, true
@@ -318,20 +322,21 @@
 	}
 }
 
-// CountReachable counts the targets, and those that answer.
+// CountReachable returns the number of targets, and of those that answer.
 func (g *Group) CountReachable() (targets, answering int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, p := range g.places {
+	for _, e := range g.endpoints {
 		targets++
-		if p.failingSince.IsZero() {
+		if e.unreachableSince.IsZero() {
 			answering++
 		}
 	}
 	return targets, answering
 }
 
-// MinPosition returns a position that holds all that was acknowledged maxAge ago.
+// MinPosition returns a position that includes every write acknowledged maxAge
+// ago. It reports false when none is known.
 func (g *Group) MinPosition(maxAge time.Duration) (rosemary.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -342,23 +347,24 @@
 func (g *Group) PrimaryValid() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	lead, known := g.leadership.Primary()
-	return known && g.config.AllowPrimary() && g.config.Clock.Now().Before(lead.ValidUntil)
+	primary, known := g.leadership.Primary()
+	return known && g.config.AllowPrimary() && g.config.Clock.Now().Before(primary.ValidUntil)
 }
 
-// TargetView is what is known of one target.
+// TargetView is a snapshot of one target.
 type TargetView struct {
 	rosemary.TargetRegistration
 	Status rosemary.Status
-	// SeenAt is when the status was asked for; zero for never.
+	// SeenAt is when the status was requested; zero if there is none.
 	SeenAt time.Time
-	// FailingFor is how long the target hasn't answered.
+	// UnreachableFor is how long the target hasn't answered; zero if it answers.
 	UnreachableFor time.Duration
-	// Refused is set when its VM answered that nothing listens.
+	// ConnectionRefused is set when the target's VM answered that no process
+	// listens on the port.
 	ConnectionRefused bool
 }
 
-// View is what is known of a group.
+// View is a snapshot of a group.
 type View struct {
 	Primary        rosegroup.PrimaryLease
 	HasPrimary     bool
@@ -367,27 +373,27 @@
 	Targets        []TargetView
 	PrimaryView    TargetView
 	HasPrimaryView bool
-	// LeadSince is since when this proxy has known the primary.
+	// PrimarySince is when this proxy learned of the primary.
 	PrimarySince time.Time
 }
 
-// View returns what is known now.
+// View returns a snapshot of the group.
 func (g *Group) View() View {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Clock.Now()
-	lead, known := g.leadership.Primary()
-	view := View{Primary: lead, HasPrimary: known, PrimaryValid: known && g.config.AllowPrimary() && now.Before(lead.ValidUntil), Term: g.leadership.Term(), PrimarySince: g.leadSince}
-	for id, p := range g.places {
+	primary, known := g.leadership.Primary()
+	view := View{Primary: primary, HasPrimary: known, PrimaryValid: known && g.config.AllowPrimary() && now.Before(primary.ValidUntil), Term: g.leadership.Term(), PrimarySince: g.primarySince}
+	for id, e := range g.endpoints {
 		status, seenAt, _ := g.leadership.Status(id)
 		t := TargetView{
-			TargetRegistration: rosemary.TargetRegistration{Target: p.target, Group: g.config.Name, Slots: p.slots, Leaving: p.leaving, Incarnation: p.born},
-			Status:             status, SeenAt: seenAt, ConnectionRefused: p.refused,
+			TargetRegistration: rosemary.TargetRegistration{Target: e.target, Group: g.config.Name, Slots: e.slots, Leaving: e.leaving, Incarnation: e.incarnation},
+			Status:             status, SeenAt: seenAt, ConnectionRefused: e.connectionRefused,
 		}
-		if !p.failingSince.IsZero() {
-			t.UnreachableFor = now.Sub(p.failingSince)
+		if !e.unreachableSince.IsZero() {
+			t.UnreachableFor = now.Sub(e.unreachableSince)
 		}
-		if known && id == lead.Target {
+		if known && id == primary.Target {
 			view.PrimaryView, view.HasPrimaryView = t, true
 		}
 		view.Targets = append(view.Targets, t)
--- a/pkg/rosefleet/lease.go
+++ b/pkg/rosefleet/lease.go
@@ -13,75 +13,79 @@
 )
 
 const (
-	// farPenalty is added to the cost of a target in another availability
-	// zone, about a round trip and the price of its bytes.
-	farPenalty = 6 * time.Millisecond
-	// leadPenalty keeps reads that a replica can serve off the primary.
-	leadPenalty = 15 * time.Millisecond
-	// behindPause is how long reads with a floor pass over a replica that
-	// lacked one.
-	behindPause = 60 * time.Millisecond
-	// lagTime is how long a replica's lag is believed.
-	lagTime = time.Second
-	// choosePause separates looks at a group that has no target to offer.
-	choosePause = 25 * time.Millisecond
-	// leavingLimit is how long a primary that is leaving still gets new
-	// work while no other has taken over.
-	leavingLimit = 4 * time.Second
-	// answerWeight is the weight of a new answer time in the mean.
-	answerWeight = 0.1
+	// crossZonePenalty is added to the cost of a target in another availability
+	// zone: about a round trip and the price of the traffic.
+	crossZonePenalty = 6 * time.Millisecond
+	// primaryPenalty keeps reads that a replica can serve off the primary.
+	primaryPenalty = 15 * time.Millisecond
+	// laggingBackoff is how long reads with a minimum position avoid a replica
+	// that had not reached one.
+	laggingBackoff = 60 * time.Millisecond
+	// maxLagAge is how long a measured replication lag is used.
+	maxLagAge = time.Second
+	// chooseInterval is the longest wait before a target is chosen again.
+	chooseInterval = 25 * time.Millisecond
+	// leavingGrace is how long a leaving primary still gets new work while no
+	// other target has taken over.
+	leavingGrace = 4 * time.Second
+	// responseTimeWeight is the weight of a new response time in the moving
+	// average.
+	responseTimeWeight = 0.1
 )
 
-// Request is what a statement needs of a target.
+// Request describes what a statement needs from a target.
 type Request struct {
-	// Primary asks for the primary alone.
+	// Primary excludes replicas.
 	Primary bool
-	// Floor is what a replica's log must hold.
+	// MinPosition is the position that a replica must have reached.
 	MinPosition rosemary.Position
 	Priority    int
-	// Deadline is when the answer is of no more use.
+	// Deadline is when the answer is no longer of use.
 	Deadline time.Time
-	// Aim is when the answer should be there.
+	// SoftDeadline is when the answer should be there. It bounds the wait for a
+	// connection only while the pool is overloaded.
 	SoftDeadline time.Time
-	// Owner names the session, which gets the link that it used last.
+	// Owner identifies the session, which preferably gets the connection that
+	// it used last.
 	Owner uint64
-	// Avoid is passed over if another target will do.
+	// Avoid is a target to use only if no other will do.
 	Avoid rosemary.TargetID
 }
 
-// Lease is a link for the sole use of one session.
+// Lease is a connection for the exclusive use of one session.
 type Lease struct {
-	group *Group
-	place *place
-	held  *held
-	// term is that which the target led when the lease began; zero for a
-	// replica.
+	group    *Group
+	endpoint *endpoint
+	pooled   *pooledConn
+	// term is the one that the target was primary of when the lease began; zero
+	// for a replica.
 	term uint64
 }
 
-// Acquire chooses a target and returns a link to it. Nothing was sent on
-// behalf of the session when it fails.
+// Acquire chooses a target and returns a connection to it. If it fails, nothing
+// was sent on behalf of the session.
 func (g *Group) Acquire(ctx context.Context, request Request) (*Lease, *rosemary.Refusal) {
 	for {
-		p, term, changed := g.choose(request)
-		if p != nil {
-			lease, refusal := g.lease(ctx, p, term, request)
+		e, term, changed := g.choose(request)
+		if e != nil {
+			lease, refusal := g.acquireFrom(ctx, e, term, request)
 			if lease != nil || refusal != nil {
 				return lease, refusal
 			}
 		}
-		if !time.Now().Before(request.Deadline) || p == nil && g.config.ZonePartitioned() {
-			return nil, unserved(request)
+		if !time.Now().Before(request.Deadline) || e == nil && g.config.ZonePartitioned() {
+			return nil, noTargetRefusal(request)
 		}
-		if p == nil && !await(ctx, changed, request.Deadline) {
-			return nil, unserved(request)
+		if e == nil && !awaitChange(ctx, changed, request.Deadline) {
+			return nil, noTargetRefusal(request)
 		}
 	}
 }
 
-// await waits for a change, for a while, and reports false at the deadline.
-func await(ctx context.Context, changed <-chan struct{}, deadline time.Time) bool {
-	timer := time.NewTimer(min(time.Until(deadline), choosePause))
+// awaitChange waits for a change, at most chooseInterval. It reports false once the
+// deadline has passed or ctx has ended.
+func awaitChange(ctx context.Context, changed <-chan struct{}, deadline time.Time) bool {
+	timer := time.NewTimer(min(time.Until(deadline), chooseInterval))
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -92,248 +96,253 @@
 	return time.Now().Before(deadline)
 }
 
-// choose returns the target to use, and the term it leads if it is primary.
-func (g *Group) choose(request Request) (*place, uint64, <-chan struct{}) {
+// choose returns the target to use, and its term if it is the primary.
+func (g *Group) choose(request Request) (*endpoint, uint64, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Clock.Now()
-	lead, known := g.leadership.Primary()
-	certain := known && g.config.AllowPrimary() && now.Before(lead.ValidUntil)
+	primary, known := g.leadership.Primary()
+	valid := known && g.config.AllowPrimary() && now.Before(primary.ValidUntil)
 	if request.Primary {
-		if p := g.places[lead.Target]; certain && p != nil && p.failingSince.IsZero() && !p.gone(now) {
-			return p, lead.Term, g.changed
+		if e := g.endpoints[primary.Target]; valid && e != nil && e.unreachableSince.IsZero() && !e.pastLeavingGrace(now) {
+			return e, primary.Term, g.changed
 		}
 		return nil, 0, g.changed
 	}
-	var best *place
-	var least time.Duration
-	for id, p := range g.places {
-		cost, usable := g.cost(p, lead, certain, now, request)
+	var best *endpoint
+	var lowest time.Duration
+	for id, e := range g.endpoints {
+		cost, usable := g.cost(e, primary, valid, now, request)
 		if usable && id == request.Avoid {
 			cost += time.Second
 		}
-		if usable && (best == nil || cost < least) {
-			best, least = p, cost
+		if usable && (best == nil || cost < lowest) {
+			best, lowest = e, cost
 		}
 	}
-	if best != nil && certain && best.target.ID == lead.Target {
-		return best, lead.Term, g.changed
+	if best != nil && valid && best.target.ID == primary.Target {
+		return best, primary.Term, g.changed
 	}
 	return best, 0, g.changed
 }
 
-// caughtUp reports whether a replica is likely to hold floor by now, from how
-// far behind it was when it last told. The lock is held.
-func (g *Group) caughtUp(p *place, now time.Time, floor rosemary.Position) bool {
-	reached := g.leadership.ReachedAt(floor)
-	if reached.IsZero() {
-		reached = now
+// caughtUp reports whether a replica has probably reached position by now, judged
+// by its last known lag. The lock must be held.
+func (g *Group) caughtUp(e *endpoint, now time.Time, position rosemary.Position) bool {
+	reachedAt := g.leadership.ReachedAt(position)
+	if reachedAt.IsZero() {
+		reachedAt = now
 	}
-	return !now.Add(-p.lag).Before(reached) || now.Sub(p.lagAt) > lagTime
+	return !now.Add(-e.lag).Before(reachedAt) || now.Sub(e.lagAt) > maxLagAge
 }
 
-// gone reports whether a leaving target gets no new work, whatever its role.
-func (p *place) gone(now time.Time) bool {
-	return p.leaving && now.Sub(p.leavingSince) > leavingLimit
+// pastLeavingGrace reports whether a leaving target gets no new work, whatever its
+// role.
+func (e *endpoint) pastLeavingGrace(now time.Time) bool {
+	return e.leaving && now.Sub(e.leavingSince) > leavingGrace
 }
 
-// cost estimates the time to an answer of p. The lock is held.
-func (g *Group) cost(p *place, lead rosegroup.PrimaryLease, certain bool, now time.Time, request Request) (time.Duration, bool) {
-	status, _, seen := g.leadership.Status(p.target.ID)
-	if !seen || !p.failingSince.IsZero() {
+// cost estimates the response time of e, and reports whether e can serve the
+// request. The lock must be held.
+func (g *Group) cost(e *endpoint, primary rosegroup.PrimaryLease, valid bool, now time.Time, request Request) (time.Duration, bool) {
+	status, _, seen := g.leadership.Status(e.target.ID)
+	if !seen || !e.unreachableSince.IsZero() {
 		return 0, false
 	}
-	leads := p.target.ID == lead.Target
+	isPrimary := e.target.ID == primary.Target
 	switch {
-	case leads && (!certain || p.gone(now)):
+	case isPrimary && (!valid || e.pastLeavingGrace(now)):
 		return 0, false
-	case !leads && now.Before(p.behindTill) && !g.caughtUp(p, now, request.MinPosition):
+	case !isPrimary && now.Before(e.laggingUntil) && !g.caughtUp(e, now, request.MinPosition):
 		return 0, false
-	case !leads && (request.MinPosition.IsZero() || status.Role != rosemary.RoleReplica || p.leaving):
+	case !isPrimary && (request.MinPosition.IsZero() || status.Role != rosemary.RoleReplica || e.leaving):
 		return 0, false
 	}
-	inUse, waiting, limit, _ := p.pool.load()
-	ahead := float64(inUse+waiting) / float64(max(limit, 1))
-	answer := max(p.answerTime, time.Millisecond)
-	cost := time.Duration(float64(answer) * (1 + ahead) * (0.95 + rand.Float64()/10))
+	inUse, waiting, limit, _ := e.pool.load()
+	load := float64(inUse+waiting) / float64(max(limit, 1))
+	responseTime := max(e.responseTime, time.Millisecond)
+	cost := time.Duration(float64(responseTime) * (1 + load) * (0.95 + rand.Float64()/10))
 	if waiting > 0 {
-		cost += answer * time.Duration(waiting) / time.Duration(max(limit, 1))
+		cost += responseTime * time.Duration(waiting) / time.Duration(max(limit, 1))
 	}
-	if p.target.Zone != g.config.Zone {
-		cost += farPenalty
+	if e.target.Zone != g.config.Zone {
+		cost += crossZonePenalty
 	}
-	if leads {
-		cost += leadPenalty
+	if isPrimary {
+		cost += primaryPenalty
 	}
 	return cost, true
 }
 
-// lease takes a link. It returns neither lease nor refusal when the choice no
-// longer holds.
-func (g *Group) lease(ctx context.Context, p *place, term uint64, request Request) (*Lease, *rosemary.Refusal) {
-	request.SoftDeadline = request.SoftDeadline.Add(-p.meanAnswer())
-	if wait, worthwhile := p.pool.admit(request); !worthwhile {
-		return nil, p.overloaded(wait)
+// acquireFrom takes a connection to e. It returns neither a lease nor a refusal if
+// the target has to be chosen again.
+func (g *Group) acquireFrom(ctx context.Context, e *endpoint, term uint64, request Request) (*Lease, *rosemary.Refusal) {
+	request.SoftDeadline = request.SoftDeadline.Add(-e.meanResponseTime())
+	if wait, worthwhile := e.pool.admit(request); !worthwhile {
+		return nil, e.overloadedRefusal(wait)
 	}
-	h, ok, w := p.pool.take(request)
+	c, ok, w := e.pool.take(request)
 	if w != nil {
 		var refusal *rosemary.Refusal
-		if h, ok, refusal = p.wait(ctx, w, request); refusal != nil {
+		if c, ok, refusal = e.awaitConn(ctx, w, request); refusal != nil {
 			return nil, refusal
 		}
 	}
 	if !ok {
 		return nil, nil
 	}
-	lease := &Lease{group: g, place: p, held: h, term: term}
-	if h == nil {
+	lease := &Lease{group: g, endpoint: e, pooled: c, term: term}
+	if c == nil {
 		var err error
-		if h, err = p.dial(ctx); err != nil {
-			g.dialFailed(p, err)
+		if c, err = e.dial(ctx); err != nil {
+			g.handleDialError(e, err)
 			return nil, nil
 		}
-		lease.held = h
+		lease.pooled = c
 	}
-	h.owner = request.Owner
+	c.owner = request.Owner
 	if term > 0 && !lease.StillPrimary() {
-		p.pool.put(h)
+		e.pool.put(c)
 		return nil, nil
 	}
 	return lease, nil
 }
 
-// wait waits for a link until the deadline.
-func (p *place) wait(ctx context.Context, w *waiter, request Request) (*held, bool, *rosemary.Refusal) {
+// awaitConn waits for a connection until the deadline.
+func (e *endpoint) awaitConn(ctx context.Context, w *waiter, request Request) (*pooledConn, bool, *rosemary.Refusal) {
 	timer := time.NewTimer(time.Until(request.Deadline))
 	defer timer.Stop()
 	select {
 	case granted := <-w.granted:
 		if granted.shed {
-			wait, _ := p.pool.admit(request)
-			return nil, false, p.overloaded(wait)
+			wait, _ := e.pool.admit(request)
+			return nil, false, e.overloadedRefusal(wait)
 		}
-		return granted.held, granted.ok, nil
+		return granted.conn, granted.ok, nil
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	p.pool.abandon(w)
-	wait, _ := p.pool.admit(request)
-	return nil, false, p.overloaded(wait)
+	e.pool.abandon(w)
+	wait, _ := e.pool.admit(request)
+	return nil, false, e.overloadedRefusal(wait)
 }
 
-func (g *Group) dialFailed(p *place, err error) {
+func (g *Group) handleDialError(e *endpoint, err error) {
 	if trace.IsLimitExceeded(err) {
 		g.mu.Lock()
-		p.behindTill = g.config.Clock.Now().Add(behindPause)
+		e.laggingUntil = g.config.Clock.Now().Add(laggingBackoff)
 		g.mu.Unlock()
-		time.Sleep(choosePause)
+		time.Sleep(chooseInterval)
 		return
 	}
-	g.fail(p, g.config.Clock.Now(), err)
+	g.observeFailure(e, g.config.Clock.Now(), err)
 }
 
-// Target returns the target that the lease is on.
-func (l *Lease) Target() rosemary.TargetID { return l.place.target.ID }
+// Target returns the target of the connection.
+func (l *Lease) Target() rosemary.TargetID { return l.endpoint.target.ID }
 
-// Primary reports whether the lease was taken on the primary.
+// Primary reports whether the target was the primary when the lease began.
 func (l *Lease) Primary() bool { return l.term > 0 }
 
-// SessionState returns what the link's last user left on it, nil for a new link.
-func (l *Lease) SessionState() any { return l.held.memo }
+// SessionState returns what the last user of the connection set as its state, nil
+// for a new connection.
+func (l *Lease) SessionState() any { return l.pooled.sessionState }
 
-// SetSessionState records what is left on the link.
-func (l *Lease) SetSessionState(memo any) { l.held.memo = memo }
+// SetSessionState sets the state that the next user of the connection will find.
+func (l *Lease) SetSessionState(state any) { l.pooled.sessionState = state }
 
-// StillPrimary reports whether the target still leads the term that it led when
-// the lease began. An answer that arrived while it does wasn't given by a
-// primary that had been replaced.
+// StillPrimary reports whether the target is still the primary of the term in which
+// the lease began. An answer that arrived while it is doesn't come from a primary
+// that had been replaced.
 func (l *Lease) StillPrimary() bool {
 	l.group.mu.Lock()
 	defer l.group.mu.Unlock()
-	return l.group.config.AllowPrimary() && l.group.leadership.IsPrimary(l.place.target.ID, l.term, l.group.config.Clock.Now())
+	return l.group.config.AllowPrimary() && l.group.leadership.IsPrimary(l.endpoint.target.ID, l.term, l.group.config.Clock.Now())
 }
 
-// Exchange runs statements on the link and learns from their answers.
+// Exchange runs statements on the connection, and updates the state of the target
+// from the last answer.
 func (l *Lease) Exchange(deadline time.Time, statements ...rosemary.Statement) ([]rosemary.Answer, bool, error) {
 	sentAt := l.group.config.Clock.Now()
 	started := time.Now()
-	answers, sent, err := l.held.link.Exchange(deadline, statements...)
+	answers, sent, err := l.pooled.conn.Exchange(deadline, statements...)
 	if err != nil {
-		l.place.nudge()
+		l.endpoint.requestSample()
 		return answers, sent, err
 	}
-	l.learn(answers[len(answers)-1], sentAt, time.Since(started))
+	l.observeAnswer(answers[len(answers)-1], sentAt, time.Since(started))
 	return answers, sent, nil
 }
 
-// learn takes in the position and the failure of an answer.
-func (l *Lease) learn(answer rosemary.Answer, sentAt time.Time, took time.Duration) {
-	g, p := l.group, l.place
+// observeAnswer records the position or the failure of an answer.
+func (l *Lease) observeAnswer(answer rosemary.Answer, sentAt time.Time, took time.Duration) {
+	g, e := l.group, l.endpoint
 	switch answer.Failure {
 	case rosemary.FailureReadOnly:
 		if l.term > 0 {
-			g.deposed(p)
+			g.observeNotPrimary(e)
 		}
 		return
 	case rosemary.FailureLagging:
 		g.mu.Lock()
 		now := g.config.Clock.Now()
-		p.behindTill = now.Add(behindPause)
-		p.noteApplied(answer.Position, now)
+		e.laggingUntil = now.Add(laggingBackoff)
+		e.observeApplied(answer.Position, now)
 		g.mu.Unlock()
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if l.term == 0 {
-		p.noteApplied(answer.Position, g.config.Clock.Now())
+		e.observeApplied(answer.Position, g.config.Clock.Now())
 	}
 	if answer.Digest != "" {
-		p.answerTime += time.Duration(answerWeight * float64(took-p.answerTime))
+		e.responseTime += time.Duration(responseTimeWeight * float64(took-e.responseTime))
 	}
 	if l.term > 0 && answer.Position.LogTerm == l.term {
-		g.leadership.ObservePosition(p.target.ID, l.term, answer.Position, sentAt, g.config.Clock.Now())
+		g.leadership.ObservePosition(e.target.ID, l.term, answer.Position, sentAt, g.config.Clock.Now())
 	}
 }
 
-// Release gives the link back; one in doubt is closed.
-func (l *Lease) Release(good bool) {
-	if good {
-		l.place.pool.put(l.held)
+// Release returns the connection to the pool, or closes it if it isn't reusable.
+func (l *Lease) Release(reusable bool) {
+	if reusable {
+		l.endpoint.pool.put(l.pooled)
 	} else {
-		l.place.pool.drop(l.held)
+		l.endpoint.pool.drop(l.pooled)
 	}
 }
 
-func (p *place) meanAnswer() time.Duration {
-	p.group.mu.Lock()
-	defer p.group.mu.Unlock()
-	return p.answerTime
+func (e *endpoint) meanResponseTime() time.Duration {
+	e.group.mu.Lock()
+	defer e.group.mu.Unlock()
+	return e.responseTime
 }
 
-// overloaded refuses a request whose wait for a link would pass its deadline.
-func (p *place) overloaded(wait time.Duration) *rosemary.Refusal {
-	inUse, waiting, limit, hold := p.pool.load()
+// overloadedRefusal refuses a request whose wait for a connection would exceed its
+// deadline.
+func (e *endpoint) overloadedRefusal(wait time.Duration) *rosemary.Refusal {
+	inUse, waiting, limit, holdTime := e.pool.load()
 	return &rosemary.Refusal{
 		Kind:    rosemary.KindOverloaded,
 		Outcome: rosemary.OutcomeNotRun,
-		Message: fmt.Sprintf("the wait for target %s would pass the deadline (%d of %d links in use, %d wait, held %d ms, answers take %d ms)",
-			p.target.ID, inUse, limit, waiting, hold.Milliseconds(), p.meanAnswer().Milliseconds()),
+		Message: fmt.Sprintf("the wait for a connection to target %s would exceed the deadline (%d of %d connections in use, %d requests waiting, mean hold time %d ms, mean response time %d ms)",
+			e.target.ID, inUse, limit, waiting, holdTime.Milliseconds(), e.meanResponseTime().Milliseconds()),
 		Remedy:     "retry later, or raise the statement's timeout",
 		RetryAfter: max(wait, time.Millisecond),
 	}
 }
 
-func unserved(request Request) *rosemary.Refusal {
+func noTargetRefusal(request Request) *rosemary.Refusal {
 	kind, message := rosemary.KindNoReplica, "no target could serve the read before its deadline"
 	if request.Primary {
-		kind, message = rosemary.KindNoPrimary, "no primary could be relied on before the deadline"
+		kind, message = rosemary.KindNoPrimary, "no primary could be verified before the deadline"
 	}
 	return &rosemary.Refusal{
 		Kind:       kind,
 		Outcome:    rosemary.OutcomeNotRun,
 		Message:    message,
-		Remedy:     "retry; if it lasts, look at the group's targets",
+		Remedy:     "retry; if this persists, check the group's targets",
 		RetryAfter: rosegroup.PrimaryLeaseTime,
 	}
 }
--- a/pkg/rosefleet/pool.go
+++ b/pkg/rosefleet/pool.go
@@ -9,127 +9,133 @@
 )
 
 const (
-	// holdWeight is the weight of a new holding time in the mean.
-	holdWeight = 0.1
-	// firstHold is assumed before any link was given back.
-	firstHold = 20 * time.Millisecond
-	// fullPause is how long a pool opens nothing after its target had no
-	// connection left.
-	fullPause = 100 * time.Millisecond
-	// overloadAfter is how long requests have to have waited without a break
-	// for the pool to count as overloaded.
-	overloadAfter = 300 * time.Millisecond
-	// linkRest is how long a link beyond half of the proxy's share may rest.
-	linkRest = 2 * time.Second
+	// holdTimeWeight is the weight of a new hold time in the moving average.
+	holdTimeWeight = 0.1
+	// initialHoldTime is assumed until a connection has been returned.
+	initialHoldTime = 20 * time.Millisecond
+	// fullBackoff is how long a pool opens no connections after its target had
+	// none left.
+	fullBackoff = 100 * time.Millisecond
+	// overloadThreshold is how long the queue must have been non-empty for the
+	// pool to count as overloaded.
+	overloadThreshold = 300 * time.Millisecond
+	// maxConnIdle is how long connections beyond half of the proxy's share may
+	// stay idle.
+	maxConnIdle = 2 * time.Second
 )
 
-// held is a link with what its last user left on it.
-type held struct {
-	link rosemary.Conn
-	// memo is what the link's last user left on it.
-	memo    any
-	owner   uint64
-	takenAt time.Time
-	putAt   time.Time
+// pooledConn is a connection with its bookkeeping.
+type pooledConn struct {
+	conn rosemary.Conn
+	// sessionState is the state set by the connection's last user.
+	sessionState any
+	owner        uint64
+	takenAt      time.Time
+	idleSince    time.Time
 }
 
-// pool holds the links to one target. Waiting requests are ordered by
+// pool holds the connections to one target. Waiting requests are ordered by
 // priority, then by deadline.
 type pool struct {
 	mu   sync.Mutex
-	idle []*held
+	idle []*pooledConn
 	open int
-	// limit bounds the links; share is this proxy's part of what its target
-	// accepts.
-	limit    int
-	share    int
-	fullTill time.Time
-	waiting  waiterHeap
-	// busySince is since when requests have waited without a break.
-	busySince time.Time
-	sequence  uint64
-	closed    bool
-	meanHold  time.Duration
+	// limit is the maximum of open connections; share is this proxy's share of
+	// those that the target accepts.
+	limit     int
+	share     int
+	fullUntil time.Time
+	waiting   waiterHeap
+	// queuedSince is since when the queue has been non-empty.
+	queuedSince  time.Time
+	sequence     uint64
+	closed       bool
+	meanHoldTime time.Duration
 }
 
 func newPool() *pool {
-	return &pool{limit: 1, share: 1, meanHold: firstHold}
+	return &pool{limit: 1, share: 1, meanHoldTime: initialHoldTime}
 }
 
-// waiter is a request that waits for a link.
+// waiter is a request that waits for a connection.
 type waiter struct {
 	priority int
 	deadline time.Time
-	// aim is when the answer should be there.
-	aim      time.Time
-	sequence uint64
-	index    int
-	// granted carries a link, or nil with the right to open one.
+	// softDeadline is when the answer should be there.
+	softDeadline time.Time
+	sequence     uint64
+	index        int
+	// granted receives a connection, or the right to open one.
 	granted chan grant
 }
 
+// grant ends the wait of a waiter. Without ok the waiter gets nothing, and has to
+// choose a target again unless it is shed.
 type grant struct {
-	held *held
+	conn *pooledConn
 	ok   bool
-	// shed is set for a request that is refused: the pool is overloaded, and
-	// its answer would come too late.
+	// shed is set for a request that is refused because the pool is overloaded
+	// and the answer would come too late.
 	shed bool
 }
 
-// take returns an idle link, or the right to open one (nil, true), or a waiter.
-// It prefers the link that owner used last.
-func (p *pool) take(request Request) (*held, bool, *waiter) {
+// take returns an idle connection, or the right to open one (nil, true), or a
+// waiter. It prefers the connection that the request's owner used last.
+func (p *pool) take(request Request) (*pooledConn, bool, *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, false, nil
 	}
 	if len(p.idle) > 0 {
-		p.busySince = time.Time{}
+		p.queuedSince = time.Time{}
 		return p.popIdle(request.Owner), true, nil
 	}
 	if p.mayOpen(0) {
 		p.open++
 		return nil, true, nil
 	}
-	if p.busySince.IsZero() {
-		p.busySince = time.Now()
+	if p.queuedSince.IsZero() {
+		p.queuedSince = time.Now()
 	}
 	p.sequence++
 	w := &waiter{
-		priority: request.Priority, deadline: request.Deadline, aim: request.SoftDeadline, sequence: p.sequence,
+		priority: request.Priority, deadline: request.Deadline, softDeadline: request.SoftDeadline, sequence: p.sequence,
 		granted: make(chan grant, 1),
 	}
-	if !time.Now().Before(w.aim) {
-		// Late before it came here, so the queue isn't what delays it.
-		w.aim = w.deadline
+	if !time.Now().Before(w.softDeadline) {
+		// The request was late before it was queued, so don't shed it for a
+		// delay that isn't the queue's.
+		w.softDeadline = w.deadline
 	}
 	heap.Push(&p.waiting, w)
 	return nil, false, w
 }
 
-func (p *pool) popIdle(owner uint64) *held {
-	at := len(p.idle) - 1
-	for i := at; i >= 0; i-- {
+func (p *pool) popIdle(owner uint64) *pooledConn {
+	index := len(p.idle) - 1
+	for i := index; i >= 0; i-- {
 		if p.idle[i].owner == owner {
-			at = i
+			index = i
 			break
 		}
 	}
-	h := p.idle[at]
-	p.idle = append(p.idle[:at], p.idle[at+1:]...)
-	h.takenAt = time.Now()
-	return h
+	c := p.idle[index]
+	p.idle = append(p.idle[:index], p.idle[index+1:]...)
+	c.takenAt = time.Now()
+	return c
 }
 
-// mayOpen reports whether another link may be opened. The lock is held.
-func (p *pool) mayOpen(beyond int) bool {
-	return p.open < p.limit+beyond && !time.Now().Before(p.fullTill)
+// mayOpen reports whether another connection may be opened, with extra added to the
+// limit. The lock must be held.
+func (p *pool) mayOpen(extra int) bool {
+	return p.open < p.limit+extra && !time.Now().Before(p.fullUntil)
 }
 
-// takeForControl returns an idle link, or the right to open one, for a call
-// that must not wait behind statements. It reports whether there are others.
-func (p *pool) takeForControl() (h *held, ok, others bool) {
+// takeForControl returns an idle connection, or the right to open one, for a call
+// that must not queue behind statements. It also reports whether the pool had open
+// connections before.
+func (p *pool) takeForControl() (c *pooledConn, ok, others bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -146,7 +152,7 @@
 	return nil, false, others
 }
 
-// abandon takes w out of the queue, or passes on what it was granted.
+// abandon removes w from the queue, or passes on what it was granted.
 func (p *pool) abandon(w *waiter) {
 	p.mu.Lock()
 	if w.index >= 0 {
@@ -157,49 +163,49 @@
 	p.mu.Unlock()
 	g := <-w.granted
 	switch {
-	case g.held != nil:
-		p.put(g.held)
+	case g.conn != nil:
+		p.put(g.conn)
 	case g.ok:
 		p.drop(nil)
 	}
 }
 
-// put gives back a link in good order.
-func (p *pool) put(h *held) {
+// put returns a reusable connection.
+func (p *pool) put(c *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.meanHold += time.Duration(holdWeight * float64(time.Since(h.takenAt)-p.meanHold))
+	p.meanHoldTime += time.Duration(holdTimeWeight * float64(time.Since(c.takenAt)-p.meanHoldTime))
 	if p.closed || p.open > p.limit {
-		h.link.Close()
+		c.conn.Close()
 		p.open--
 		return
 	}
-	if w := p.next(); w != nil {
-		h.takenAt = time.Now()
-		w.granted <- grant{held: h, ok: true}
+	if w := p.nextWaiter(); w != nil {
+		c.takenAt = time.Now()
+		w.granted <- grant{conn: c, ok: true}
 		return
 	}
-	h.putAt = time.Now()
-	p.idle = append(p.idle, h)
+	c.idleSince = time.Now()
+	p.idle = append(p.idle, c)
 }
 
-// trim closes links beyond half of the share that have rested: after a loss of
-// power a target holds the connections of the dead for seconds, and only what
-// was left free serves meanwhile.
+// trim closes connections beyond half of the share that have been idle for
+// maxConnIdle. After a loss of power, a target holds the connections of the proxies
+// that failed for seconds, and only those left free can be used meanwhile.
 func (p *pool) trim() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.open > max(p.share/2, 1) && len(p.idle) > 0 && time.Since(p.idle[0].putAt) > linkRest {
-		p.idle[0].link.Close()
+	for p.open > max(p.share/2, 1) && len(p.idle) > 0 && time.Since(p.idle[0].idleSince) > maxConnIdle {
+		p.idle[0].conn.Close()
 		p.idle = p.idle[1:]
 		p.open--
 	}
 }
 
-// drop gives back a link in doubt, or the right to open one.
-func (p *pool) drop(h *held) {
-	if h != nil {
-		h.link.Close()
+// drop closes a connection that may be broken, or returns the right to open one.
+func (p *pool) drop(c *pooledConn) {
+	if c != nil {
+		c.conn.Close()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -207,29 +213,29 @@
 	if p.closed || !p.mayOpen(0) {
 		return
 	}
-	if w := p.next(); w != nil {
+	if w := p.nextWaiter(); w != nil {
 		p.open++
 		w.granted <- grant{ok: true}
 	}
 }
 
-// full records that the target has no connection left for this pool.
-func (p *pool) full() {
+// markFull records that the target has no connection left for this pool.
+func (p *pool) markFull() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if time.Now().Before(p.fullTill) {
+	if time.Now().Before(p.fullUntil) {
 		return
 	}
-	p.fullTill = time.Now().Add(fullPause)
-	time.AfterFunc(fullPause, p.reopen)
+	p.fullUntil = time.Now().Add(fullBackoff)
+	time.AfterFunc(fullBackoff, p.reopen)
 }
 
-// reopen lets waiters open links again.
+// reopen lets waiters open connections again.
 func (p *pool) reopen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for !p.closed && p.mayOpen(0) {
-		w := p.next()
+		w := p.nextWaiter()
 		if w == nil {
 			return
 		}
@@ -238,37 +244,36 @@
 	}
 }
 
-// next takes the next waiter off the queue. Under overload those whose answer
-// would come too late are refused on the way, so that the others' comes in
-// time.
-func (p *pool) next() *waiter {
+// nextWaiter removes the next waiter from the queue. Under overload it sheds the
+// waiters whose answer would come too late, so that the others are served in time.
+func (p *pool) nextWaiter() *waiter {
 	for len(p.waiting) > 0 {
 		w := heap.Pop(&p.waiting).(*waiter)
-		if !p.overloaded() || time.Now().Before(w.aim) {
+		if !p.overloaded() || time.Now().Before(w.softDeadline) {
 			return w
 		}
 		w.granted <- grant{shed: true}
 	}
-	p.busySince = time.Time{}
+	p.queuedSince = time.Time{}
 	return nil
 }
 
-// overloaded reports whether requests have waited for so long that the queue
-// isn't a passing burst. The lock is held.
+// overloaded reports whether the queue has been non-empty for too long to be a
+// short burst. The lock must be held.
 func (p *pool) overloaded() bool {
-	return !p.busySince.IsZero() && time.Since(p.busySince) > overloadAfter
+	return !p.queuedSince.IsZero() && time.Since(p.queuedSince) > overloadThreshold
 }
 
-// flush closes idle links and sends every waiter away to choose again.
+// flush closes the idle connections and has every waiter choose a target again.
 func (p *pool) flush() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, h := range p.idle {
-		h.link.Close()
+	for _, c := range p.idle {
+		c.conn.Close()
 		p.open--
 	}
 	p.idle = nil
-	for w := p.next(); w != nil; w = p.next() {
+	for w := p.nextWaiter(); w != nil; w = p.nextWaiter() {
 		w.granted <- grant{}
 	}
 }
@@ -281,27 +286,27 @@
 	p.flush()
 }
 
-func (p *pool) setLimit(share, limit int) {
+func (p *pool) setLimits(share, limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.share = max(share, 1)
 	p.limit = max(limit, p.share)
 }
 
-// load tells how many links are in use, how many requests wait for one, how
-// many there may be, and how long one is held.
-func (p *pool) load() (inUse, waiting, limit int, hold time.Duration) {
+// load returns the number of connections in use, of requests waiting and of
+// connections allowed, and how long a connection is held on average.
+func (p *pool) load() (inUse, waiting, limit int, holdTime time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open - len(p.idle), len(p.waiting), p.limit, p.meanHold
+	return p.open - len(p.idle), len(p.waiting), p.limit, p.meanHoldTime
 }
 
-// admit estimates the wait of a new request, and reports whether it is worth
-// its while: until the deadline, or under overload until its aim.
+// admit estimates the wait of a new request, and reports whether it ends before the
+// deadline or, under overload, before the soft deadline.
 func (p *pool) admit(request Request) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	wait := p.predict(request.Priority)
+	wait := p.estimateWait(request.Priority)
 	limit := request.Deadline
 	if p.overloaded() && time.Now().Before(request.SoftDeadline) {
 		limit = request.SoftDeadline
@@ -309,9 +314,9 @@
 	return wait, wait <= time.Until(limit)
 }
 
-// predict estimates the wait of a new request of that priority. The lock is
-// held.
-func (p *pool) predict(priority int) time.Duration {
+// estimateWait estimates the wait of a new request of the given priority. The lock
+// must be held.
+func (p *pool) estimateWait(priority int) time.Duration {
 	if len(p.idle) > 0 || p.open < p.limit {
 		return 0
 	}
@@ -321,7 +326,7 @@
 			ahead++
 		}
 	}
-	return time.Duration(float64(ahead) / float64(p.limit) * float64(p.meanHold))
+	return time.Duration(float64(ahead) / float64(p.limit) * float64(p.meanHoldTime))
 }
 
 // waiterHeap orders waiters by priority, then by deadline.
--- a/pkg/rosefleet/pool_test.go
+++ b/pkg/rosefleet/pool_test.go
@@ -11,27 +11,27 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// idleLink is a link that nothing is sent on.
-type idleLink struct {
+// fakeConn is a connection on which nothing is sent.
+type fakeConn struct {
 	rosemary.Conn
 	closed bool
 }
 
-func (l *idleLink) Close() { l.closed = true }
+func (c *fakeConn) Close() { c.closed = true }
 
-// full returns a pool whose only link is in use.
-func full() (*pool, *held) {
+// fullPool returns a pool whose only connection is in use.
+func fullPool() (*pool, *pooledConn) {
 	p := newPool()
 	p.take(Request{})
-	return p, &held{link: &idleLink{}, takenAt: time.Now()}
+	return p, &pooledConn{conn: &fakeConn{}, takenAt: time.Now()}
 }
 
-func request(priority int, aim, deadline time.Duration) Request {
-	return Request{Priority: priority, SoftDeadline: time.Now().Add(aim), Deadline: time.Now().Add(deadline)}
+func request(priority int, softDeadline, deadline time.Duration) Request {
+	return Request{Priority: priority, SoftDeadline: time.Now().Add(softDeadline), Deadline: time.Now().Add(deadline)}
 }
 
-// granted returns what a waiter got, if it got anything.
-func granted(w *waiter) (grant, bool) {
+// received returns what a waiter was granted, if anything.
+func received(w *waiter) (grant, bool) {
 	select {
 	case g := <-w.granted:
 		return g, true
@@ -43,141 +43,141 @@
 func TestWaitersAreOrderedByPriorityAndDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, link := full()
-		_, _, late := p.take(request(2, time.Second, 3*time.Second))
-		_, _, soon := p.take(request(2, time.Second, 2*time.Second))
+		p, conn := fullPool()
+		_, _, later := p.take(request(2, time.Second, 3*time.Second))
+		_, _, earlier := p.take(request(2, time.Second, 2*time.Second))
 		_, _, first := p.take(request(1, time.Second, 3*time.Second))
-		for _, w := range []*waiter{first, soon, late} {
-			p.put(link)
-			g, ok := granted(w)
-			c.Assert(ok && g.held == link, qt.IsTrue)
+		for _, w := range []*waiter{first, earlier, later} {
+			p.put(conn)
+			g, ok := received(w)
+			c.Assert(ok && g.conn == conn, qt.IsTrue)
 		}
 	})
 }
 
-func TestOverloadShedsWhatIsTooLate(t *testing.T) {
+func TestOverloadShedsLateWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, link := full()
-		_, _, stale := p.take(request(1, 100*time.Millisecond, time.Second))
-		time.Sleep(overloadAfter + time.Millisecond)
-		_, _, fresh := p.take(request(1, 100*time.Millisecond, time.Second))
-		p.put(link)
-		g, _ := granted(stale)
+		p, conn := fullPool()
+		_, _, late := p.take(request(1, 100*time.Millisecond, time.Second))
+		time.Sleep(overloadThreshold + time.Millisecond)
+		_, _, inTime := p.take(request(1, 100*time.Millisecond, time.Second))
+		p.put(conn)
+		g, _ := received(late)
 		c.Check(g.shed, qt.IsTrue)
-		g, _ = granted(fresh)
-		c.Check(g.held, qt.Equals, link)
+		g, _ = received(inTime)
+		c.Check(g.conn, qt.Equals, conn)
 	})
 }
 
-func TestBurstShedsNothing(t *testing.T) {
+func TestBurstShedsNoWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, link := full()
+		p, conn := fullPool()
 		_, _, w := p.take(request(1, 100*time.Millisecond, time.Second))
-		time.Sleep(overloadAfter / 2)
-		p.put(link)
-		g, _ := granted(w)
-		c.Check(g.held, qt.Equals, link)
+		time.Sleep(overloadThreshold / 2)
+		p.put(conn)
+		g, _ := received(w)
+		c.Check(g.conn, qt.Equals, conn)
 	})
 }
 
-// A request that came too late for its aim, as after a replacement, is served
-// late and not refused.
-func TestOverloadServesWhatCameLate(t *testing.T) {
+// A request that arrives after its soft deadline, as after a failover, is served
+// late and not shed.
+func TestOverloadServesRequestsLateOnArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, link := full()
+		p, conn := fullPool()
 		_, _, w := p.take(request(1, -time.Millisecond, time.Second))
-		time.Sleep(overloadAfter + time.Millisecond)
-		p.put(link)
-		g, _ := granted(w)
-		c.Check(g.held, qt.Equals, link)
+		time.Sleep(overloadThreshold + time.Millisecond)
+		p.put(conn)
+		g, _ := received(w)
+		c.Check(g.conn, qt.Equals, conn)
 	})
 }
 
-func TestOverloadRefusesAtOnce(t *testing.T) {
+func TestOverloadRefusesNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, _ := full()
+		p, _ := fullPool()
 		for range 20 {
 			p.take(request(1, time.Second, time.Minute))
 		}
 		_, worthwhile := p.admit(request(1, 100*time.Millisecond, time.Minute))
-		c.Check(worthwhile, qt.IsTrue, qt.Commentf("a burst"))
-		time.Sleep(overloadAfter + time.Millisecond)
+		c.Check(worthwhile, qt.IsTrue, qt.Commentf("short burst"))
+		time.Sleep(overloadThreshold + time.Millisecond)
 		wait, worthwhile := p.admit(request(1, 100*time.Millisecond, time.Minute))
 		c.Check(worthwhile, qt.IsFalse)
 		c.Check(wait > 100*time.Millisecond, qt.IsTrue)
 	})
 }
 
-// The pause after a refused connection ends with a queue in which all are too
-// late.
-func TestReopenWithNothingButLateWaiters(t *testing.T) {
+// When the backoff after a refused connection ends and all waiters are late, they
+// are shed and the pool opens connections again.
+func TestReopenWithOnlyLateWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, link := full()
+		p, conn := fullPool()
 		_, _, w := p.take(request(1, 10*time.Millisecond, time.Second))
-		time.Sleep(overloadAfter - fullPause/2)
-		p.full()
-		p.drop(link)
-		time.Sleep(fullPause + time.Millisecond)
+		time.Sleep(overloadThreshold - fullBackoff/2)
+		p.markFull()
+		p.drop(conn)
+		time.Sleep(fullBackoff + time.Millisecond)
 		synctest.Wait()
-		g, ok := granted(w)
+		g, ok := received(w)
 		c.Check(ok && g.shed, qt.IsTrue)
 		_, ok, _ = p.take(request(1, time.Second, time.Second))
-		c.Check(ok, qt.IsTrue, qt.Commentf("the pool opens links again"))
+		c.Check(ok, qt.IsTrue, qt.Commentf("the pool must open connections again"))
 	})
 }
 
 func TestRefusedConnectionWakesWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, link := full()
+		p, conn := fullPool()
 		_, _, w := p.take(request(1, time.Second, time.Second))
-		p.full()
-		p.drop(link)
-		_, ok := granted(w)
+		p.markFull()
+		p.drop(conn)
+		_, ok := received(w)
 		c.Check(ok, qt.IsFalse)
-		time.Sleep(fullPause + time.Millisecond)
+		time.Sleep(fullBackoff + time.Millisecond)
 		synctest.Wait()
-		g, ok := granted(w)
+		g, ok := received(w)
 		c.Check(ok && g.ok, qt.IsTrue)
 	})
 }
 
-func TestFlushSendsWaitersAway(t *testing.T) {
+func TestFlushReleasesWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, _ := full()
+		p, _ := fullPool()
 		_, _, w := p.take(request(1, time.Second, time.Second))
 		p.flush()
-		g, ok := granted(w)
+		g, ok := received(w)
 		c.Check(ok && !g.ok && !g.shed, qt.IsTrue)
 	})
 }
 
-func TestAbandonedWaiterPassesItsLinkOn(t *testing.T) {
+func TestAbandonedWaiterPassesOnItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p, link := full()
+		p, conn := fullPool()
 		_, _, first := p.take(request(1, time.Second, time.Second))
 		_, _, second := p.take(request(1, time.Second, 2*time.Second))
-		p.put(link)
+		p.put(conn)
 		p.abandon(first)
-		g, ok := granted(second)
-		c.Check(ok && g.held == link, qt.IsTrue)
+		g, ok := received(second)
+		c.Check(ok && g.conn == conn, qt.IsTrue)
 	})
 }
 
-func TestLeaseIsRefusedWhenItsWaitEnds(t *testing.T) {
+func TestAcquireIsRefusedAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := New(Config{Name: "g"})
-		p := &place{group: g, pool: newPool()}
-		p.pool.take(Request{})
-		lease, refusal := g.lease(context.Background(), p, 0, request(1, time.Second, 10*time.Millisecond))
+		e := &endpoint{group: g, pool: newPool()}
+		e.pool.take(Request{})
+		lease, refusal := g.acquireFrom(context.Background(), e, 0, request(1, time.Second, 10*time.Millisecond))
 		c.Check(lease, qt.IsNil)
 		c.Check(refusal.Outcome, qt.Equals, rosemary.OutcomeNotRun)
 		c.Check(refusal.RetryAfter > 0, qt.IsTrue)
--- a/pkg/rosefleet/sample.go
+++ b/pkg/rosefleet/sample.go
@@ -16,40 +16,41 @@
 
 const (
 	// sampleInterval separates the samples of one target. Two replicas give
-	// six samples within rosegroup.PermissionTime.
+	// six samples within rosegroup.PrimaryLeaseTime.
 	sampleInterval = 300 * time.Millisecond
-	// sharedTime is how old the status of another proxy may be that saves a
-	// sample. What is left of rosegroup.PermissionTime then suffices for one.
-	sharedTime = 650 * time.Millisecond
-	// searchInterval separates them while no primary is certain.
+	// maxSharedAge is how old a status shared by another proxy may be to replace
+	// a sample. What is left of rosegroup.PrimaryLeaseTime then suffices for
+	// one sample.
+	maxSharedAge = 650 * time.Millisecond
+	// searchInterval separates the samples while no primary is certain.
 	searchInterval = 50 * time.Millisecond
-	// sampleTimeout bounds one sample.
+	// sampleTimeout limits the duration of a sample.
 	sampleTimeout = 300 * time.Millisecond
-	// dialTimeout bounds the opening of a link.
+	// dialTimeout limits the time to open a connection.
 	dialTimeout = 300 * time.Millisecond
 )
 
-// sample follows the target's status until ctx ends.
-func (p *place) sample(ctx context.Context) {
-	nudged := true
+// runSampler samples the target's status until ctx ends.
+func (e *endpoint) runSampler(ctx context.Context) {
+	requested := true
 	for ctx.Err() == nil {
-		certain := p.group.PrimaryValid()
-		rest := p.sharedFor()
-		if nudged || !certain || rest <= 0 {
-			p.sampleOnce(ctx)
-			rest = sampleInterval - sampleInterval/8 + rand.N(sampleInterval/4)
+		primaryValid := e.group.PrimaryValid()
+		delay := e.sharedValidity()
+		if requested || !primaryValid || delay <= 0 {
+			e.sampleOnce(ctx)
+			delay = sampleInterval - sampleInterval/8 + rand.N(sampleInterval/4)
 		}
-		nudged = false
-		if !certain {
-			rest = searchInterval - searchInterval/8 + rand.N(searchInterval/4)
+		requested = false
+		if !primaryValid {
+			delay = searchInterval - searchInterval/8 + rand.N(searchInterval/4)
 		}
-		timer := time.NewTimer(rest)
+		timer := time.NewTimer(delay)
 		select {
 		case <-timer.C:
-		case <-p.wake:
-			// Nudges come in bursts; one sample answers them.
+		case <-e.sampleRequests:
+			// Sample requests come in bursts; one sample serves them all.
 			timer.Stop()
-			nudged = true
+			requested = true
 			roseclock.Sleep(ctx, searchInterval/4)
 		case <-ctx.Done():
 		}
@@ -57,134 +58,135 @@
 	}
 }
 
-// sharedFor returns how long the status that another proxy has sampled still
-// saves a sample.
-func (p *place) sharedFor() time.Duration {
-	g := p.group
+// sharedValidity returns how long the status that another proxy has shared still
+// replaces a sample.
+func (e *endpoint) sharedValidity() time.Duration {
+	g := e.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p.sharedAt.IsZero() || !p.failingSince.IsZero() {
+	if e.sharedAt.IsZero() || !e.unreachableSince.IsZero() {
 		return 0
 	}
-	return p.sharedAt.Add(sharedTime).Sub(g.config.Clock.Now())
+	return e.sharedAt.Add(maxSharedAge).Sub(g.config.Clock.Now())
 }
 
-// RecentStatuses returns the statuses that this proxy has sampled itself of late.
+// RecentStatuses returns the statuses that this proxy has sampled itself within
+// maxSharedAge.
 func (g *Group) RecentStatuses() []rosegroup.SharedStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Clock.Now()
-	shared := g.leadership.RecentStatuses(now.Add(-sharedTime))
+	shared := g.leadership.RecentStatuses(now.Add(-maxSharedAge))
 	return slices.DeleteFunc(shared, func(s rosegroup.SharedStatus) bool {
-		p := g.places[s.Status.Target]
-		return p == nil || now.Sub(p.sharedAt) < sharedTime || !p.failingSince.IsZero()
+		e := g.endpoints[s.Status.Target]
+		return e == nil || now.Sub(e.sharedAt) < maxSharedAge || !e.unreachableSince.IsZero()
 	})
 }
 
-// ObserveShared takes in the statuses that another proxy has sampled.
+// ObserveShared records the statuses that another proxy has sampled.
 func (g *Group) ObserveShared(shared []rosegroup.SharedStatus) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	before, _ := g.leadership.Primary()
 	now := g.config.Clock.Now()
 	for _, s := range shared {
-		p := g.places[s.Status.Target]
-		if p == nil || !p.failingSince.IsZero() {
+		e := g.endpoints[s.Status.Target]
+		if e == nil || !e.unreachableSince.IsZero() {
 			continue
 		}
 		g.leadership.ObserveShared(s)
-		p.sharedAt = s.SentAt
-		p.noteApplied(s.Status.Applied, s.SentAt)
+		e.sharedAt = s.SentAt
+		e.observeApplied(s.Status.Applied, s.SentAt)
 		if s.Status.Role == rosemary.RolePrimary {
-			g.leadership.ObservePosition(p.target.ID, s.Status.Term, s.Status.Position, s.SentAt, now)
+			g.leadership.ObservePosition(e.target.ID, s.Status.Term, s.Status.Position, s.SentAt, now)
 		}
 	}
-	g.compareLead(before, "status of another proxy")
-	if lead, ok := g.leadership.Primary(); ok && now.Before(lead.ValidUntil) && !now.Before(before.ValidUntil) {
-		g.wakeWaiters()
+	g.handlePrimaryChange(before, "status of another proxy")
+	if primary, ok := g.leadership.Primary(); ok && now.Before(primary.ValidUntil) && !now.Before(before.ValidUntil) {
+		g.notifyWaiters()
 	}
 }
 
-// sampleOnce asks the target for its status and reports whether it answers.
-func (p *place) sampleOnce(ctx context.Context) bool {
-	sentAt := p.group.config.Clock.Now()
-	status, err := p.control(ctx, sampleTimeout, func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
-		return l.Status(deadline)
+// sampleOnce requests the target's status and reports whether the target answers.
+func (e *endpoint) sampleOnce(ctx context.Context) bool {
+	sentAt := e.group.config.Clock.Now()
+	status, err := e.runControl(ctx, sampleTimeout, func(conn rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
+		return conn.Status(deadline)
 	})
 	switch {
 	case err == nil:
-		p.group.note(p, status, sentAt)
+		e.group.observe(e, status, sentAt)
 	case ctx.Err() != nil, trace.IsLimitExceeded(err):
 		// A target without a free slot or connection is alive.
 	default:
-		p.group.fail(p, sentAt, err)
+		e.group.observeFailure(e, sentAt, err)
 		return false
 	}
 	return true
 }
 
-// control runs a call on a link of its own.
-func (p *place) control(ctx context.Context, timeout time.Duration, call func(rosemary.Conn, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
+// runControl runs a call on a connection that no session uses.
+func (e *endpoint) runControl(ctx context.Context, timeout time.Duration, call func(rosemary.Conn, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
 	for {
-		h, ok, others := p.pool.takeForControl()
+		c, ok, others := e.pool.takeForControl()
 		if !ok {
-			return rosemary.Status{}, trace.LimitExceeded("all links to target %s are in use", p.target.ID)
+			return rosemary.Status{}, trace.LimitExceeded("all connections to target %s are in use", e.target.ID)
 		}
-		used := h != nil
-		if !used {
+		reused := c != nil
+		if !reused {
 			if !others {
-				// No link would have told of a restart.
-				p.group.unseat(p)
+				// Without an open connection a restart goes unnoticed.
+				e.group.observePossibleRestart(e)
 			}
 			var err error
-			if h, err = p.dial(ctx); err != nil {
+			if c, err = e.dial(ctx); err != nil {
 				return rosemary.Status{}, err
 			}
 		}
-		status, err := call(h.link, time.Now().Add(timeout))
+		status, err := call(c.conn, time.Now().Add(timeout))
 		if err == nil || trace.IsLimitExceeded(err) {
-			p.pool.put(h)
+			e.pool.put(c)
 			return status, err
 		}
-		p.pool.drop(h)
-		if !used {
+		e.pool.drop(c)
+		if !reused {
 			return status, err
 		}
-		// An old link may be dead while the target lives: the other old
-		// ones go too, and a new one tells.
-		p.group.unseat(p)
-		p.pool.flush()
+		// An idle connection may be dead while the target is alive. Close the
+		// others too, and try a new one.
+		e.group.observePossibleRestart(e)
+		e.pool.flush()
 	}
 }
 
-// dial opens a link that the pool has granted.
-func (p *place) dial(ctx context.Context) (*held, error) {
+// dial opens a connection that the pool has granted.
+func (e *endpoint) dial(ctx context.Context) (*pooledConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	l, err := p.group.config.Dialer.DialTarget(ctx, p.group.config.Name, p.target)
+	conn, err := e.group.config.Dialer.DialTarget(ctx, e.group.config.Name, e.target)
 	if err == nil {
-		return &held{link: l, takenAt: time.Now()}, nil
+		return &pooledConn{conn: conn, takenAt: time.Now()}, nil
 	}
 	if trace.IsLimitExceeded(err) {
-		p.pool.full()
-		klog.V(1).InfoS("target has no connection left", "group", p.group.config.Name, "target", p.target.ID)
+		e.pool.markFull()
+		klog.V(1).InfoS("target has no connection left", "group", e.group.config.Name, "target", e.target.ID)
 	}
-	p.pool.drop(nil)
+	e.pool.drop(nil)
 	return nil, err
 }
 
-// Control runs a control call on a target.
+// Control runs a control call on a target and records the status it returns.
 func (g *Group) Control(ctx context.Context, id rosemary.TargetID, timeout time.Duration, call func(rosemary.Conn, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
 	g.mu.Lock()
-	p := g.places[id]
+	e := g.endpoints[id]
 	g.mu.Unlock()
-	if p == nil {
+	if e == nil {
 		return rosemary.Status{}, trace.NotFound("group %s has no target %s", g.config.Name, id)
 	}
 	sentAt := g.config.Clock.Now()
-	status, err := p.control(ctx, timeout, call)
+	status, err := e.runControl(ctx, timeout, call)
 	if err == nil {
-		g.note(p, status, sentAt)
+		g.observe(e, status, sentAt)
 	}
 	return status, err
 }
--- a/pkg/rosefleet/shared_test.go
+++ b/pkg/rosefleet/shared_test.go
@@ -15,10 +15,10 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// statusLink answers questions for the status after a while. t-1 leads.
-type statusLink struct {
-	target rosemary.TargetID
-	way    time.Duration
+// statusConn answers status requests after a round trip. t-1 is the primary.
+type statusConn struct {
+	target  rosemary.TargetID
+	latency time.Duration
 }
 
 func statusOf(id rosemary.TargetID) rosemary.Status {
@@ -29,37 +29,37 @@
 	return rosemary.Status{Target: id, Role: role, Term: 1, Position: rosemary.Position{LogTerm: 1, Offset: 9}}
 }
 
-// Exchange answers nothing.
-func (statusLink) Exchange(time.Time, ...rosemary.Statement) ([]rosemary.Answer, bool, error) {
+// Exchange fails.
+func (statusConn) Exchange(time.Time, ...rosemary.Statement) ([]rosemary.Answer, bool, error) {
 	return nil, false, context.DeadlineExceeded
 }
 
-// Status takes a way to the target and back.
-func (l statusLink) Status(time.Time) (rosemary.Status, error) {
-	time.Sleep(2 * l.way)
-	return statusOf(l.target), nil
+// Status returns the status after a round trip.
+func (c statusConn) Status(time.Time) (rosemary.Status, error) {
+	time.Sleep(2 * c.latency)
+	return statusOf(c.target), nil
 }
 
-// Pause, StepDown and Resume only tell the status.
-func (l statusLink) Pause(d time.Time, _ uint64) (rosemary.Status, error)    { return l.Status(d) }
-func (l statusLink) StepDown(d time.Time, _ uint64) (rosemary.Status, error) { return l.Status(d) }
-func (l statusLink) Resume(d time.Time) (rosemary.Status, error)             { return l.Status(d) }
+// Pause, StepDown and Resume only return the status.
+func (c statusConn) Pause(d time.Time, _ uint64) (rosemary.Status, error)    { return c.Status(d) }
+func (c statusConn) StepDown(d time.Time, _ uint64) (rosemary.Status, error) { return c.Status(d) }
+func (c statusConn) Resume(d time.Time) (rosemary.Status, error)             { return c.Status(d) }
 
 // Close does nothing.
-func (statusLink) Close() {}
+func (statusConn) Close() {}
 
-// statusDialer opens links that take as long.
+// statusDialer opens connections with that latency.
 type statusDialer time.Duration
 
-// OpenLink opens a link.
+// DialTarget opens a statusConn.
 func (d statusDialer) DialTarget(_ context.Context, _ string, target rosemary.Target) (rosemary.Conn, error) {
-	return statusLink{target.ID, time.Duration(d)}, nil
+	return statusConn{target.ID, time.Duration(d)}, nil
 }
 
-// A proxy that gets the statuses from another samples by itself before its
-// permission to rely on the primary ends, whenever the other one stops.
-func TestPermissionOutlivesTheSampler(t *testing.T) {
-	for stops := 2 * time.Second; stops < 2300*time.Millisecond; stops += 10 * time.Millisecond {
+// A proxy that gets statuses from another one must sample by itself before its
+// primary lease ends, whenever the other one stops sharing.
+func TestPrimaryStaysValidWhenSharedStatusesStop(t *testing.T) {
+	for stopsAt := 2 * time.Second; stopsAt < 2300*time.Millisecond; stopsAt += 10 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			g := rosefleet.New(rosefleet.Config{
 				Name: "g", Zone: "z", Dialer: statusDialer(2 * time.Millisecond), Clock: roseclock.Runtime{},
@@ -76,9 +76,9 @@
 			started := time.Now()
 			for time.Since(started) < 4*time.Second {
 				time.Sleep(10 * time.Millisecond)
-				now := time.Since(started)
-				if now < stops && now%(250*time.Millisecond) == 0 {
-					// Sampled up to an interval ago, as the other one does.
+				elapsed := time.Since(started)
+				if elapsed < stopsAt && elapsed%(250*time.Millisecond) == 0 {
+					// The other proxy's sample may be one sample interval old.
 					sentAt := time.Now().Add(-300 * time.Millisecond)
 					var shared []rosegroup.SharedStatus
 					for _, id := range ids {
@@ -86,7 +86,7 @@
 					}
 					g.ObserveShared(shared)
 				}
-				qt.Assert(t, now < time.Second || g.PrimaryValid(), qt.IsTrue, qt.Commentf("after %v, the sampler stopped at %v", now, stops))
+				qt.Assert(t, elapsed < time.Second || g.PrimaryValid(), qt.IsTrue, qt.Commentf("not valid after %v; sharing stopped at %v", elapsed, stopsAt))
 			}
 		})
 	}
