--- a/pkg/roseroute/router.go
+++ b/pkg/roseroute/router.go
@@ -1,6 +1,6 @@
-// Package roseroute chooses the target of each statement: the primary for
-// writes, and for declared reads a replica whose data has reached the
-// session's floor and is young enough.
+// Package roseroute chooses the target of each statement: the primary for writes
+// and, for reads of a class that allows it, a replica that has reached the
+// session's minimum position and whose data is recent enough.
 package roseroute
 
 import (
@@ -19,17 +19,19 @@
 )
 
 const (
-	// ageMargin is kept between a replica's age and a class's MaxAge for
-	// the way of the statement to the replica.
-	ageMargin = 20 * time.Millisecond
-	// primaryFreshness is the same bound for statements without an age.
-	primaryFreshness = time.Second
-	// freshWatches is the number of idle watches that the bound spans.
-	freshWatches = 3
-	// maxWaiting bounds the statements that wait for a primary.
+	// transitMargin is kept between the age of a replica's data and a class's
+	// MaxAge, for the time that the statement takes to reach the replica.
+	transitMargin = 20 * time.Millisecond
+	// defaultMaxPrimaryAge bounds the time since the primary's term was last
+	// known to be in force, for classes without a MaxAge.
+	defaultMaxPrimaryAge = time.Second
+	// maxPrimaryAgeWatches is the number of watches without a change that
+	// this bound covers at least.
+	maxPrimaryAgeWatches = 3
+	// maxWaiting limits the number of statements that wait for a target.
 	maxWaiting = 4096
-	// retryPause separates attempts at a target that refuses connections.
-	retryPause = 5 * time.Millisecond
+	// retryInterval separates attempts to get a connection to a target.
+	retryInterval = 5 * time.Millisecond
 )
 
 // Config sets up a Router.
@@ -38,11 +40,11 @@
 	Zone   rosemary.Zone
 	Pools  map[rosemary.TargetID]*rosepool.Pool
 	Queues map[rosemary.TargetID]*roseadmit.Queue
-	// Leaving tells whether a target is to get no new work, by bundle or VM
-	// list. Nil means that only the target's own sign counts.
+	// Leaving reports whether a target is to get no new work according to the
+	// bundle or the VM list. Nil means that only the target's own status counts.
 	Leaving func(rosemary.TargetID) bool
-	// PrimaryReads sends every read to the primary; it is the baseline that
-	// the load tool compares with.
+	// PrimaryReads sends every read to the primary. The load tool uses it as the
+	// baseline to compare with.
 	PrimaryReads bool
 }
 
@@ -61,9 +63,9 @@
 	return &Router{config: config}
 }
 
-// Request describes what is to be routed.
+// Request describes what a statement needs from a target.
 type Request struct {
-	// Floor is the position that a replica must have reached.
+	// MinPosition is the position that a replica must have reached.
 	MinPosition rosemary.Position
 	Class       rosemary.Class
 	Flow        roseadmit.Flow
@@ -74,15 +76,15 @@
 // Lease is a connection to the chosen target.
 type Lease struct {
 	Conn *rosepool.Conn
-	// Replica is set when the target isn't the primary.
+	// Replica is set if the target isn't the primary.
 	Replica bool
 	Zone    rosemary.Zone
 	pool    *rosepool.Pool
 	ticket  *roseadmit.Ticket
 }
 
-// Release gives the connection back. Served tells that the lease was held for
-// one statement, whose time tells the target's latency.
+// Release returns the connection. Served tells that the lease was held for a
+// single statement, so that its duration is a sample of the target's latency.
 func (l *Lease) Release(served bool) {
 	l.ticket.Release(served && !l.Conn.Broken())
 	l.pool.Release(l.Conn)
@@ -91,12 +93,12 @@
 // Group returns the controller of the router's group.
 func (r *Router) Group() *rosegroup.Controller { return r.config.Group }
 
-// Acquire waits for a connection to a target that may serve the request.
-// Nothing was sent when it fails; the error is a *rosemary.Refusal.
+// Acquire waits for a connection to a target that may serve the request. If it
+// fails, nothing was sent. The error is a *rosemary.Refusal.
 func (r *Router) Acquire(ctx context.Context, request Request) (*Lease, error) {
 	if r.waiting.Add(1) > maxWaiting {
 		r.waiting.Add(-1)
-		return nil, refusal(rosemary.KindOverloaded, "too many statements wait for a target", time.Second)
+		return nil, refusal(rosemary.KindOverloaded, "too many statements are waiting for a target", time.Second)
 	}
 	defer r.waiting.Add(-1)
 	for {
@@ -106,17 +108,17 @@
 			return nil, err
 		}
 		if choice.Target.ID == "" {
-			if !await(ctx, changed, time.Second) {
-				return nil, noTarget(request)
+			if !awaitChange(ctx, changed, time.Second) {
+				return nil, noTargetRefusal(request)
 			}
 			continue
 		}
-		lease, err := r.lease(ctx, choice, view, request)
+		lease, err := r.acquireFrom(ctx, choice, view, request)
 		if lease != nil || isRefusal(err) {
 			return lease, err
 		}
-		if !await(ctx, changed, retryPause) {
-			return nil, noTarget(request)
+		if !awaitChange(ctx, changed, retryInterval) {
+			return nil, noTargetRefusal(request)
 		}
 	}
 }
@@ -126,9 +128,10 @@
 	return errors.As(err, &refused)
 }
 
-// await reports false when ctx ended first.
-func await(ctx context.Context, changed <-chan struct{}, most time.Duration) bool {
-	timer := time.NewTimer(most)
+// awaitChange waits for a change, at most for timeout. It reports false if ctx has
+// ended.
+func awaitChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -139,10 +142,10 @@
 	return ctx.Err() == nil
 }
 
-// choose picks a target, or none when the request must wait.
+// choose returns the target to use, or none if the request must wait.
 func (r *Router) choose(ctx context.Context, view rosegroup.View, request Request) (rosegroup.TargetView, error) {
 	if request.Class.ReadOnly && !request.ForcePrimary && !r.config.PrimaryReads && request.Class.MaxAge > 0 {
-		if replica, ok := r.replica(view, request); ok {
+		if replica, ok := r.chooseReplica(view, request); ok {
 			return replica, nil
 		}
 	}
@@ -150,7 +153,7 @@
 	if !view.HasPrimary || primary.Reachability.Down() || r.config.Leaving(primary.ID) && request.Class.ReadOnly {
 		return rosegroup.TargetView{}, nil
 	}
-	if time.Since(view.TermVerifiedAt) > r.primaryAge(request.Class) {
+	if time.Since(view.TermVerifiedAt) > r.maxPrimaryAge(request.Class) {
 		return rosegroup.TargetView{}, nil
 	}
 	if !primary.Status.Position.AtLeast(request.MinPosition) && primary.Status.Term < request.MinPosition.LogTerm {
@@ -160,30 +163,31 @@
 		return primary, nil
 	}
 	deadline, ok := ctx.Deadline()
-	if ok && view.ConfirmationLag > time.Until(deadline) && r.lagging(view) {
+	if ok && view.ConfirmationLag > time.Until(deadline) && r.hasUnconfirmed(view) {
 		return rosegroup.TargetView{}, refusal(rosemary.KindUnconfirmed,
 			"replicas are too far behind to confirm a write before its deadline", view.ConfirmationLag)
 	}
 	return primary, nil
 }
 
-// primaryAge bounds the time since the primary's term was last known to be in
-// force: a deposed primary that still answers has neither fresh data nor the
-// means to confirm a write.
-func (r *Router) primaryAge(class rosemary.Class) time.Duration {
+// maxPrimaryAge returns the longest time since the primary's term was last known to
+// be in force. A deposed primary that still answers has neither recent data nor a
+// quorum to confirm a write.
+func (r *Router) maxPrimaryAge(class rosemary.Class) time.Duration {
 	if class.MaxAge > 0 {
-		return max(class.MaxAge-ageMargin, 0)
+		return max(class.MaxAge-transitMargin, 0)
 	}
-	return max(primaryFreshness, freshWatches*r.config.Group.WatchTimeout())
+	return max(defaultMaxPrimaryAge, maxPrimaryAgeWatches*r.config.Group.WatchTimeout())
 }
 
-// lagging reports whether the primary holds more than was confirmed.
-func (r *Router) lagging(view rosegroup.View) bool {
+// hasUnconfirmed reports whether the primary holds records that aren't confirmed.
+func (r *Router) hasUnconfirmed(view rosegroup.View) bool {
 	return view.Primary.Status.Position.Compare(view.Confirmed) > 0
 }
 
-// replica picks the less loaded of two replicas that may serve the request.
-func (r *Router) replica(view rosegroup.View, request Request) (rosegroup.TargetView, bool) {
+// chooseReplica returns the less loaded of two random replicas that may serve the
+// request.
+func (r *Router) chooseReplica(view rosegroup.View, request Request) (rosegroup.TargetView, bool) {
 	var eligible []rosegroup.TargetView
 	for _, t := range view.Targets {
 		if r.mayServe(t, view, request) {
@@ -211,20 +215,20 @@
 	if view.HasPrimary && t.ID == view.Primary.ID || t.Status.Role == rosemary.RolePrimary {
 		return false
 	}
-	young := t.AgeKnown && t.Age+ageMargin <= request.Class.MaxAge
-	return young && t.Status.Position.AtLeast(request.MinPosition)
+	recent := t.AgeKnown && t.Age+transitMargin <= request.Class.MaxAge
+	return recent && t.Status.Position.AtLeast(request.MinPosition)
 }
 
-// cost estimates the time to an answer of t.
+// cost estimates the response time of t.
 func (r *Router) cost(t rosegroup.TargetView) time.Duration {
 	load := r.config.Queues[t.ID].Load()
-	ahead := float64(load.InFlight+load.Queued) / float64(max(load.Limit, 1))
-	return time.Duration(float64(load.Latency) * (1 + ahead))
+	utilization := float64(load.InFlight+load.Queued) / float64(max(load.Limit, 1))
+	return time.Duration(float64(load.Latency) * (1 + utilization))
 }
 
-// lease takes a ticket and a connection. It returns no lease and no refusal
-// when the choice no longer holds.
-func (r *Router) lease(ctx context.Context, choice rosegroup.TargetView, view rosegroup.View, request Request) (*Lease, error) {
+// acquireFrom takes a ticket and a connection. It returns neither a lease nor a
+// refusal if the target has to be chosen again.
+func (r *Router) acquireFrom(ctx context.Context, choice rosegroup.TargetView, view rosegroup.View, request Request) (*Lease, error) {
 	ticket, err := r.config.Queues[choice.ID].Acquire(ctx, request.Flow)
 	if err != nil {
 		return nil, err
@@ -244,11 +248,11 @@
 	return &Lease{Conn: conn, Replica: replica, Zone: choice.Zone, pool: pool, ticket: ticket}, nil
 }
 
-// stillValid looks again after the waits for a ticket and a connection.
+// stillValid checks the choice again after the waits for a ticket and a connection.
 func (r *Router) stillValid(choice rosegroup.TargetView, replica bool, request Request) bool {
 	view, _ := r.config.Group.View()
 	if !replica {
-		return view.HasPrimary && view.Primary.ID == choice.ID && time.Since(view.TermVerifiedAt) <= r.primaryAge(request.Class)
+		return view.HasPrimary && view.Primary.ID == choice.ID && time.Since(view.TermVerifiedAt) <= r.maxPrimaryAge(request.Class)
 	}
 	for _, t := range view.Targets {
 		if t.ID == choice.ID {
@@ -258,19 +262,19 @@
 	return false
 }
 
-func noTarget(request Request) error {
+func noTargetRefusal(request Request) error {
 	if request.Class.ReadOnly {
 		return refusal(rosemary.KindNoReplica, "no target could serve the read before its deadline", 0)
 	}
 	return refusal(rosemary.KindNoPrimary, "no primary could be reached before the deadline", 0)
 }
 
-func refusal(kind rosemary.Kind, message string, after time.Duration) error {
+func refusal(kind rosemary.Kind, message string, retryAfter time.Duration) error {
 	return &rosemary.Refusal{
 		Kind:       kind,
 		Outcome:    rosemary.OutcomeNotRun,
 		Message:    message,
-		Remedy:     "retry; if it lasts, look at the group in rosemary status",
-		RetryAfter: after,
+		Remedy:     "retry; if this persists, check the group with rosemary status",
+		RetryAfter: retryAfter,
 	}
 }
