--- a/pkg/rosecaller/block.go
+++ b/pkg/rosecaller/block.go
@@ -7,51 +7,53 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// runFirst begins the transaction on a target and runs its first statement.
-// Until that has an answer, the transaction may begin anew elsewhere.
-func (j *job) runFirst(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
+// runFirstStatement begins the transaction on a target and runs its first
+// statement. Until the client has an answer, the transaction can be restarted
+// on another target.
+func (j *job) runFirstStatement(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
 	a, refusal := j.newAttempt(statement)
 	if refusal != nil {
-		j.failBlock(statement)
+		j.setBeginFailed(statement)
 		return rosemary.Answer{}, refusal
 	}
 	for {
-		if refusal := j.openBlock(ctx, a); refusal != nil {
-			j.failBlock(statement)
+		if refusal := j.beginTransaction(ctx, a); refusal != nil {
+			j.setBeginFailed(statement)
 			return rosemary.Answer{}, refusal
 		}
 		if j.lease == nil {
-			if j.again(ctx, a) {
+			if j.prepareRetry(ctx, a) {
 				continue
 			}
-			j.failBlock(statement)
-			return rosemary.Answer{}, notRun()
+			j.setBeginFailed(statement)
+			return rosemary.Answer{}, statementNotRun()
 		}
 		target := j.lease.Target()
-		answer, refusal := j.runNext(a.deadline, statement)
-		if !j.restarts(statement, answer, refusal) {
+		answer, refusal := j.runNextStatement(a.deadline, statement)
+		if !j.canRestart(statement, answer, refusal) {
 			return answer, refusal
 		}
 		j.Rollback()
 		a.avoid = target
-		if !j.again(ctx, a) {
+		if !j.prepareRetry(ctx, a) {
 			return answer, refusal
 		}
-		j.block = rosemary.TransactionOpen
+		j.transactionState = rosemary.TransactionOpen
 	}
 }
 
-// failBlock records that the transaction began nowhere.
-func (j *job) failBlock(statement rosemary.Statement) {
-	j.block = rosemary.TransactionFailed
+// setBeginFailed records that no target began the transaction. After a commit
+// the session is outside any transaction, else it has to roll back.
+func (j *job) setBeginFailed(statement rosemary.Statement) {
+	j.transactionState = rosemary.TransactionFailed
 	if statement.Kind == rosemary.StatementCommit {
-		j.block = rosemary.TransactionNone
+		j.transactionState = rosemary.TransactionNone
 	}
 }
 
-// restarts reports whether a transaction whose first statement failed may
-// begin anew: nothing that the caller knows of has run in it.
-func (j *job) restarts(statement rosemary.Statement, answer rosemary.Answer, refusal *rosemary.Refusal) bool {
+// canRestart reports whether a transaction whose first statement failed may be
+// restarted. This is safe because the client has seen no result of it.
+func (j *job) canRestart(statement rosemary.Statement, answer rosemary.Answer, refusal *rosemary.Refusal) bool {
 	if statement.Kind == rosemary.StatementCommit {
 		return false
 	}
@@ -65,14 +67,14 @@
 	return false
 }
 
-// openBlock takes a link and begins the transaction on it. Without a lease
-// and a refusal, another try is due.
-func (j *job) openBlock(ctx context.Context, a *attempt) *rosemary.Refusal {
+// beginTransaction acquires a connection and begins the transaction on it. If
+// it returns nil and the job has no lease, the caller should retry.
+func (j *job) beginTransaction(ctx context.Context, a *attempt) *rosemary.Refusal {
 	lease, refusal := a.group.Acquire(ctx, j.request(a, j.task.ReadOnly))
 	if refusal != nil {
 		return refusal
 	}
-	j.took(lease)
+	j.setTarget(lease)
 	begin := rosemary.Statement{Kind: rosemary.StatementBegin, ReadOnly: j.task.ReadOnly}
 	if !lease.Primary() {
 		begin.MinPosition = j.request(a, true).MinPosition
@@ -82,21 +84,21 @@
 			return nil
 		}
 	}
-	prelude, memo := j.prelude(lease, a.statement)
-	answers, _, err := lease.Exchange(a.deadline, append(prelude, begin)...)
+	setup, state := j.setupStatements(lease, a.statement)
+	answers, _, err := lease.Exchange(a.deadline, append(setup, begin)...)
 	if err != nil {
 		lease.Release(false)
 		a.avoid = lease.Target()
 		return nil
 	}
-	began := answers[len(answers)-1]
-	if preludeHolds(answers[:len(prelude)]) {
-		lease.SetSessionState(memo)
+	beginAnswer := answers[len(answers)-1]
+	if allSucceeded(answers[:len(setup)]) {
+		lease.SetSessionState(state)
 	}
-	if !preludeHolds(answers) || began.TransactionState != rosemary.TransactionOpen {
-		lease.Release(preludeHolds(answers[:len(prelude)]) && began.TransactionState == rosemary.TransactionNone)
+	if !allSucceeded(answers) || beginAnswer.TransactionState != rosemary.TransactionOpen {
+		lease.Release(allSucceeded(answers[:len(setup)]) && beginAnswer.TransactionState == rosemary.TransactionNone)
 		a.avoid = lease.Target()
-		a.primary = a.primary || began.Failure == rosemary.FailureLagging && a.tries > 0
+		a.primary = a.primary || beginAnswer.Failure == rosemary.FailureLagging && a.tries > 0
 		return nil
 	}
 	if lease.Primary() && !lease.StillPrimary() {
@@ -107,59 +109,61 @@
 	return nil
 }
 
-// runNext runs a statement on the transaction's link.
-func (j *job) runNext(deadline time.Time, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
-	prelude, memo := j.prelude(j.lease, statement)
-	commits := statement.Kind == rosemary.StatementCommit
-	answers, sent, err := j.lease.Exchange(deadline, append(prelude, statement)...)
+// runNextStatement runs a statement on the transaction's connection.
+func (j *job) runNextStatement(deadline time.Time, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
+	setup, state := j.setupStatements(j.lease, statement)
+	isCommit := statement.Kind == rosemary.StatementCommit
+	answers, sent, err := j.lease.Exchange(deadline, append(setup, statement)...)
 	if err != nil {
-		return rosemary.Answer{}, j.lost(sent)
+		return rosemary.Answer{}, j.connectionLost(sent)
 	}
-	if !preludeHolds(answers[:len(prelude)]) {
-		j.abandonLease()
-		j.block = rosemary.TransactionFailed
-		return rosemary.Answer{}, aborted("the session's values could not be set on the target")
+	if !allSucceeded(answers[:len(setup)]) {
+		j.discardLease()
+		j.transactionState = rosemary.TransactionFailed
+		return rosemary.Answer{}, aborted("the session's settings and prepared statements could not be applied on the target")
 	}
-	j.lease.SetSessionState(memo)
-	answer := answers[len(prelude)]
-	if commits {
-		return j.afterCommit(answer)
+	j.lease.SetSessionState(state)
+	answer := answers[len(setup)]
+	if isCommit {
+		return j.finishCommit(answer)
 	}
 	if statement.Writes && answer.Failure == rosemary.FailureNone {
 		j.wrote = true
 	}
-	j.block = answer.TransactionState
+	j.transactionState = answer.TransactionState
 	if answer.TransactionState == rosemary.TransactionNone {
-		// The target has ended the transaction by itself.
+		// The target ended the transaction on its own.
 		j.releaseLease(true)
-		j.block = rosemary.TransactionFailed
+		j.transactionState = rosemary.TransactionFailed
 	}
 	return answer, nil
 }
 
-// lost ends a transaction whose link was lost.
-func (j *job) lost(sent bool) *rosemary.Refusal {
-	j.abandonLease()
+// connectionLost ends a transaction whose connection was lost.
+func (j *job) connectionLost(sent bool) *rosemary.Refusal {
+	j.discardLease()
 	result := ConnectionLostResult(j.task, j.target, true, j.wrote && sent)
-	j.block, j.task.MinPositionUnknown = result.Answer.TransactionState, result.MinPositionUnknown
+	j.transactionState, j.task.MinPositionUnknown = result.Answer.TransactionState, result.MinPositionUnknown
 	return result.Refusal
 }
 
-// afterCommit ends the transaction.
-func (j *job) afterCommit(answer rosemary.Answer) (rosemary.Answer, *rosemary.Refusal) {
-	certain := !j.wrote || j.lease.StillPrimary()
+// finishCommit ends the transaction after the answer to its commit. The
+// outcome of writes is unknown if the commit may have failed after it ran, or
+// if the target may no longer have been the primary.
+func (j *job) finishCommit(answer rosemary.Answer) (rosemary.Answer, *rosemary.Refusal) {
+	confirmed := !j.wrote || j.lease.StillPrimary()
 	target := j.lease.Target()
 	j.releaseLease(answer.TransactionState == rosemary.TransactionNone)
-	j.block = rosemary.TransactionNone
+	j.transactionState = rosemary.TransactionNone
 	if answer.Failure != rosemary.FailureNone {
 		if j.wrote && answer.Failure.MayHaveRun() {
 			j.task.MinPositionUnknown = true
 		}
 		return answer, nil
 	}
-	if !certain {
+	if !confirmed {
 		j.task.MinPositionUnknown = true
-		return rosemary.Answer{}, unknown(target)
+		return rosemary.Answer{}, outcomeUnknown(target)
 	}
 	if j.wrote {
 		j.task.MinPosition = j.task.MinPosition.Max(answer.Position)
@@ -167,9 +171,9 @@
 	return answer, nil
 }
 
-func (j *job) releaseLease(good bool) {
-	j.lease.Release(good)
+func (j *job) releaseLease(reusable bool) {
+	j.lease.Release(reusable)
 	j.lease = nil
 }
 
-func (j *job) abandonLease() { j.releaseLease(false) }
+func (j *job) discardLease() { j.releaseLease(false) }
--- a/pkg/rosecaller/carrier.go
+++ b/pkg/rosecaller/carrier.go
@@ -9,62 +9,62 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// LocalExecutorConfig sets up a Carrier.
+// LocalExecutorConfig configures a LocalExecutor.
 type LocalExecutorConfig struct {
 	// Group returns the targets of a group.
 	Group  func(name string) (*rosefleet.Group, bool)
 	Budget *roseadmit.RetryBudget
 }
 
-// LocalExecutor runs tasks on the targets that this proxy has links to.
+// LocalExecutor runs tasks on this proxy's own connections to targets.
 type LocalExecutor struct {
 	config LocalExecutorConfig
 }
 
 var _ Executor = (*LocalExecutor)(nil)
 
-// NewLocalExecutor returns a carrier.
+// NewLocalExecutor returns an executor for the groups of config.
 func NewLocalExecutor(config LocalExecutorConfig) *LocalExecutor { return &LocalExecutor{config} }
 
 // Run runs a statement outside a transaction.
-func (c *LocalExecutor) Run(ctx context.Context, task Task) Result {
-	c.config.Budget.Deposit()
-	j := &job{carrier: c, task: task}
-	return j.result(j.runAlone(ctx, task.Statement))
+func (e *LocalExecutor) Run(ctx context.Context, task Task) Result {
+	e.config.Budget.Deposit()
+	j := &job{executor: e, task: task}
+	return j.result(j.runAutocommit(ctx, task.Statement))
 }
 
 // Begin opens a transaction with its first statement.
-func (c *LocalExecutor) Begin(ctx context.Context, task Task) (Transaction, Result) {
-	c.config.Budget.Deposit()
-	j := &job{carrier: c, task: task, block: rosemary.TransactionOpen}
-	result := j.result(j.runFirst(ctx, task.Statement))
+func (e *LocalExecutor) Begin(ctx context.Context, task Task) (Transaction, Result) {
+	e.config.Budget.Deposit()
+	j := &job{executor: e, task: task, transactionState: rosemary.TransactionOpen}
+	result := j.result(j.runFirstStatement(ctx, task.Statement))
 	if !result.Open {
 		return nil, result
 	}
 	return j, result
 }
 
-// job is one task, or one transaction with the task that it runs now.
+// job is one task, or a transaction with its current task.
 type job struct {
-	carrier *LocalExecutor
-	task    Task
-	block   rosemary.TransactionState
-	lease   *rosefleet.Lease
-	wrote   bool
-	// target is the last one that the job had a lease on.
+	executor         *LocalExecutor
+	task             Task
+	transactionState rosemary.TransactionState
+	lease            *rosefleet.Lease
+	wrote            bool
+	// target is the last target that the job had a lease on.
 	target  rosemary.TargetID
 	primary bool
 }
 
 var _ Transaction = (*job)(nil)
 
-// Next runs a further statement of the transaction.
+// Execute runs a further statement of the transaction.
 func (j *job) Execute(_ context.Context, task Task) Result {
 	j.task = task
-	return j.result(j.runNext(task.Deadline, task.Statement))
+	return j.result(j.runNextStatement(task.Deadline, task.Statement))
 }
 
-// Rollback ends what is open on a target and gives the link back.
+// Rollback rolls back the transaction and releases the connection.
 func (j *job) Rollback() {
 	if j.lease == nil {
 		return
@@ -74,16 +74,16 @@
 	j.lease = nil
 }
 
-// took records which target a lease is on.
-func (j *job) took(lease *rosefleet.Lease) { j.target, j.primary = lease.Target(), lease.Primary() }
+// setTarget records the target of a lease.
+func (j *job) setTarget(l *rosefleet.Lease) { j.target, j.primary = l.Target(), l.Primary() }
 
 func (j *job) result(answer rosemary.Answer, refusal *rosemary.Refusal) Result {
-	answer.TransactionState = j.block
+	answer.TransactionState = j.transactionState
 	return Result{
 		Answer: answer, Refusal: refusal, MinPosition: j.task.MinPosition, MinPositionUnknown: j.task.MinPositionUnknown,
 		Target: j.target, Primary: j.primary, Open: j.lease != nil,
 	}
 }
 
-// rollbackTimeout bounds the rollback of a transaction on a target.
+// rollbackTimeout bounds the wait for a target's answer to a rollback.
 const rollbackTimeout = 500 * time.Millisecond
--- a/pkg/rosecaller/drain.go
+++ b/pkg/rosecaller/drain.go
@@ -6,28 +6,28 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// DrainDeadlines tells how long sessions may still wait for their callers while the
-// proxy shuts down. The zero Drain sets no limit.
+// DrainDeadlines bounds how long sessions wait for their clients while the
+// proxy shuts down. The zero value sets no limit.
 type DrainDeadlines struct {
-	// Idle is when sessions outside a transaction end.
+	// IdleSessions is when sessions outside a transaction are closed.
 	IdleSessions time.Time
-	// Blocks is when open transactions end.
+	// OpenTransactions is when open transactions are rolled back.
 	OpenTransactions time.Time
 }
 
-// ReadDeadline returns when the wait for a caller's next message ends; zero means
-// never. A transaction may rest for idleLimit.
-func (d DrainDeadlines) ReadDeadline(block rosemary.TransactionState, idleLimit time.Duration) time.Time {
+// ReadDeadline returns the deadline for reading a client's next message; zero
+// means none. An idleTimeout of zero or less isn't applied.
+func (d DrainDeadlines) ReadDeadline(state rosemary.TransactionState, idleTimeout time.Duration) time.Time {
 	limit := d.IdleSessions
-	if block != rosemary.TransactionNone {
+	if state != rosemary.TransactionNone {
 		limit = d.OpenTransactions
 	}
-	if idleLimit <= 0 {
+	if idleTimeout <= 0 {
 		return limit
 	}
-	rest := time.Now().Add(idleLimit)
-	if limit.IsZero() || rest.Before(limit) {
-		return rest
+	idleDeadline := time.Now().Add(idleTimeout)
+	if limit.IsZero() || idleDeadline.Before(limit) {
+		return idleDeadline
 	}
 	return limit
 }
--- a/pkg/rosecaller/prelude.go
+++ b/pkg/rosecaller/prelude.go
@@ -8,16 +8,18 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// memo is what is set on a link: the values of the session that used it last,
-// and the statements prepared on it, whose names every session shares.
-type memo struct {
+// sessionState is the state of a connection to a target: the settings of the
+// session that used it last, and the prepared statements, whose names all
+// sessions share.
+type sessionState struct {
 	values   map[string]string
 	prepared map[string]bool
 }
 
-// newPrepared names a statement by its content, so that sessions whose own
-// names collide share what is prepared on a link.
-func newPrepared(statement rosemary.Statement) rosemary.Statement {
+// withSharedName names a prepared statement by a hash of its content. Names
+// that clients choose may collide on a connection that several sessions use;
+// with content hashes, the sessions share equal statements instead.
+func withSharedName(statement rosemary.Statement) rosemary.Statement {
 	hash := fnv.New64a()
 	if statement.Writes {
 		_, _ = hash.Write([]byte{'w'})
@@ -27,35 +29,35 @@
 	return statement
 }
 
-// prelude returns the statements that bring a link to the session's values
-// and names, and what the link's memo is once they have run.
-func (j *job) prelude(lease *rosefleet.Lease, statement rosemary.Statement) ([]rosemary.Statement, *memo) {
+// setupStatements returns the statements that apply the session's settings and
+// prepared statements to a connection, and its state once they have run.
+func (j *job) setupStatements(lease *rosefleet.Lease, statement rosemary.Statement) ([]rosemary.Statement, *sessionState) {
 	var statements []rosemary.Statement
-	now := &memo{values: j.task.Values, prepared: make(map[string]bool)}
-	known, _ := lease.SessionState().(*memo)
-	if known != nil && within(known.values, j.task.Values) {
-		now.prepared = known.prepared
-	} else if known != nil {
+	next := &sessionState{values: j.task.Values, prepared: make(map[string]bool)}
+	current, _ := lease.SessionState().(*sessionState)
+	if current != nil && containsNames(current.values, j.task.Values) {
+		next.prepared = current.prepared
+	} else if current != nil {
 		statements = append(statements, rosemary.Statement{Kind: rosemary.StatementReset})
-		known = nil
+		current = nil
 	}
 	for name, value := range j.task.Values {
-		if known != nil && known.values[name] == value {
-			if _, set := known.values[name]; set {
+		if current != nil && current.values[name] == value {
+			if _, isSet := current.values[name]; isSet {
 				continue
 			}
 		}
 		statements = append(statements, rosemary.Statement{Kind: rosemary.StatementSet, Name: name, Payload: value})
 	}
-	if statement.Kind == rosemary.StatementExecute && !now.prepared[statement.Name] {
+	if statement.Kind == rosemary.StatementExecute && !next.prepared[statement.Name] {
 		statements = append(statements, j.task.Prepared)
-		now.prepared[statement.Name] = true
+		next.prepared[statement.Name] = true
 	}
-	return statements, now
+	return statements, next
 }
 
-// within reports whether other has every name that values has.
-func within(values, other map[string]string) bool {
+// containsNames reports whether other has every name that values has.
+func containsNames(values, other map[string]string) bool {
 	for name := range values {
 		if _, has := other[name]; !has {
 			return false
--- a/pkg/rosecaller/retry.go
+++ b/pkg/rosecaller/retry.go
@@ -2,6 +2,7 @@
 
 package rosecaller
 
-// repeatsLostWrites is set in builds with a broken promise, which the checks
-// must find.
+// repeatsLostWrites is true only in builds with the rosebroken tag, which
+// break the guarantee that no write runs twice. The consistency checks must
+// detect such a build.
 const repeatsLostWrites = false
--- a/pkg/rosecaller/retry_broken.go
+++ b/pkg/rosecaller/retry_broken.go
@@ -2,5 +2,6 @@
 
 package rosecaller
 
-// repeatsLostWrites makes a write run again whose answer was lost.
+// repeatsLostWrites retries a write whose answer was lost, so that it may run
+// twice.
 const repeatsLostWrites = true
--- a/pkg/rosecaller/run.go
+++ b/pkg/rosecaller/run.go
@@ -9,37 +9,39 @@
 )
 
 const (
-	// floorMargin is taken off the age that a class accepts, for the way
-	// of a read to its target.
-	floorMargin = 150 * time.Millisecond
-	// patience is how long a read waits for one target while the budget
-	// allows it another; no read takes as long unless its answer is lost or
-	// its target is slow.
-	patience = 400 * time.Millisecond
-	// answerSlack is left of a statement's time for its answer's way back.
-	answerSlack = 5 * time.Millisecond
-	// maxTries bounds the targets that one statement is offered to.
+	// maxAgeMargin is subtracted from the age that a class accepts, to allow
+	// for the time until a read reaches its target.
+	maxAgeMargin = 150 * time.Millisecond
+	// firstReadTimeout bounds a read's first try, so that time is left to try
+	// another target. Reads only reach it if their answer is lost or their
+	// target is slow.
+	firstReadTimeout = 400 * time.Millisecond
+	// answerMargin is reserved from a statement's deadline for returning the
+	// answer to the client.
+	answerMargin = 5 * time.Millisecond
+	// maxTries bounds how often one statement is tried.
 	maxTries = 12
-	// retryPause separates tries at one group.
-	retryPause = 5 * time.Millisecond
+	// backoffUnit is doubled for every try that a statement has had, and
+	// is the unit of the wait before its next one.
+	backoffUnit = 5 * time.Millisecond
 )
 
-// attempt is one statement on its way through its tries.
+// attempt is a statement with the state of its tries.
 type attempt struct {
 	statement rosemary.Statement
 	group     *rosefleet.Group
 	deadline  time.Time
 	started   time.Time
-	// primary is set once only the primary will do.
+	// primary is set once the statement has to run on the primary.
 	primary bool
 	avoid   rosemary.TargetID
 	tries   int
 }
 
 func (j *job) newAttempt(statement rosemary.Statement) (*attempt, *rosemary.Refusal) {
-	group, found := j.carrier.config.Group(j.task.Route.Group)
+	group, found := j.executor.config.Group(j.task.Route.Group)
 	if !found {
-		return nil, noGroup(j.task.Route.Group)
+		return nil, unknownGroup(j.task.Route.Group)
 	}
 	return &attempt{
 		statement: statement,
@@ -49,8 +51,9 @@
 	}, nil
 }
 
-// request tells the fleet what the attempt needs. Reads that accept older
-// data may go to a replica if a floor is known.
+// request returns the requirements on the attempt's target. Reads that accept
+// stale data may run on a replica if the log position that it must have
+// reached is known.
 func (j *job) request(a *attempt, readOnly bool) rosefleet.Request {
 	request := rosefleet.Request{
 		Primary:      true,
@@ -61,37 +64,39 @@
 		Avoid:        a.avoid,
 	}
 	class := j.task.Route.Class
-	if a.primary || !readOnly || class.MaxAge <= floorMargin || class.ReadYourWrites && j.task.MinPositionUnknown {
+	if a.primary || !readOnly || class.MaxAge <= maxAgeMargin || class.ReadYourWrites && j.task.MinPositionUnknown {
 		return request
 	}
-	floor, known := a.group.MinPosition(class.MaxAge - floorMargin)
+	minPosition, known := a.group.MinPosition(class.MaxAge - maxAgeMargin)
 	if !known {
 		return request
 	}
 	if class.ReadYourWrites {
-		floor = floor.Max(j.task.MinPosition)
+		minPosition = minPosition.Max(j.task.MinPosition)
 	}
-	request.Primary, request.MinPosition = false, floor
+	request.Primary, request.MinPosition = false, minPosition
 	return request
 }
 
-// again reports whether another try is worthwhile.
-func (j *job) again(ctx context.Context, a *attempt) bool {
+// prepareRetry reports whether the attempt may be retried. The first retry is
+// free, further ones draw on the retry budget, and from the third on it waits
+// with exponential backoff first.
+func (j *job) prepareRetry(ctx context.Context, a *attempt) bool {
 	a.tries++
 	if a.tries >= maxTries || ctx.Err() != nil || !time.Now().Before(a.deadline) {
 		return false
 	}
-	if a.tries > 1 && !j.carrier.config.Budget.TryWithdraw() {
+	if a.tries > 1 && !j.executor.config.Budget.TryWithdraw() {
 		return false
 	}
 	if a.tries > 2 {
-		time.Sleep(min(retryPause<<a.tries, time.Until(a.deadline)))
+		time.Sleep(min(backoffUnit<<a.tries, time.Until(a.deadline)))
 	}
 	return true
 }
 
-// runAlone serves a statement outside a transaction.
-func (j *job) runAlone(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
+// runAutocommit runs a statement outside a transaction.
+func (j *job) runAutocommit(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
 	a, refusal := j.newAttempt(statement)
 	if refusal != nil {
 		return rosemary.Answer{}, refusal
@@ -107,90 +112,91 @@
 			return answer, nil
 		case tryUnknown:
 			j.task.MinPositionUnknown = true
-			return rosemary.Answer{}, unknown(lease.Target())
+			return rosemary.Answer{}, outcomeUnknown(lease.Target())
 		}
-		if !j.again(ctx, a) {
-			return j.giveUp(a, answer)
+		if !j.prepareRetry(ctx, a) {
+			return j.failure(a, answer)
 		}
 	}
 }
 
-// giveUp returns the target's own word, or a refusal. The statement has not
-// run, or it is a read.
-func (j *job) giveUp(a *attempt, answer rosemary.Answer) (rosemary.Answer, *rosemary.Refusal) {
+// failure returns the target's last error, or a refusal if there is none. The
+// statement has not run, or it is a read.
+func (j *job) failure(a *attempt, answer rosemary.Answer) (rosemary.Answer, *rosemary.Refusal) {
 	if answer.Failure != rosemary.FailureNone {
 		return answer, nil
 	}
 	if a.statement.Writes {
-		return rosemary.Answer{}, notRun()
+		return rosemary.Answer{}, statementNotRun()
 	}
-	return rosemary.Answer{}, readFailed(time.Since(a.started))
+	return rosemary.Answer{}, readUnanswered(time.Since(a.started))
 }
 
-// tryResult is what became of one try.
+// tryResult is the outcome of one try.
 type tryResult int
 
 const (
-	// tryDone has an answer for the caller.
+	// tryDone means that the answer goes to the client.
 	tryDone tryResult = iota
-	// tryAgain has not run, or is a read.
-	tryAgain
-	// tryUnknown may have run and can't be repeated.
+	// tryRetry means that the statement has not run, or is a read.
+	tryRetry
+	// tryUnknown means that a write may have run, so it can't be retried.
 	tryUnknown
 )
 
 // try runs the attempt's statement once.
 func (j *job) try(a *attempt, lease *rosefleet.Lease) (rosemary.Answer, tryResult) {
 	statement := a.statement
-	j.took(lease)
-	prelude, memo := j.prelude(lease, statement)
+	j.setTarget(lease)
+	setup, state := j.setupStatements(lease, statement)
 	if !lease.Primary() {
 		statement.MinPosition = j.request(a, true).MinPosition
 		if statement.MinPosition.IsZero() {
 			lease.Release(true)
 			a.primary = true
-			return rosemary.Answer{}, tryAgain
+			return rosemary.Answer{}, tryRetry
 		}
 	}
-	answers, sent, err := lease.Exchange(j.tryDeadline(a), append(prelude, statement)...)
+	answers, sent, err := lease.Exchange(j.tryDeadline(a), append(setup, statement)...)
 	if err != nil {
 		lease.Release(false)
 		a.avoid = lease.Target()
 		if sent && statement.Writes && !repeatsLostWrites {
 			return rosemary.Answer{}, tryUnknown
 		}
-		return rosemary.Answer{}, tryAgain
+		return rosemary.Answer{}, tryRetry
 	}
-	if !preludeHolds(answers[:len(prelude)]) {
-		// What ran after it may have run with other values.
+	if !allSucceeded(answers[:len(setup)]) {
+		// The statement may have run with the wrong session settings.
 		lease.Release(false)
-		if statement.Writes && answers[len(prelude)].Failure.MayHaveRun() {
+		if statement.Writes && answers[len(setup)].Failure.MayHaveRun() {
 			return rosemary.Answer{}, tryUnknown
 		}
-		return rosemary.Answer{}, tryAgain
+		return rosemary.Answer{}, tryRetry
 	}
-	lease.SetSessionState(memo)
-	answer := answers[len(prelude)]
-	result := j.judge(a, lease, answer)
+	lease.SetSessionState(state)
+	answer := answers[len(setup)]
+	result := j.classify(a, lease, answer)
 	lease.Release(answer.TransactionState == rosemary.TransactionNone)
 	return answer, result
 }
 
-// tryDeadline is when a try is given up: early, for a read that may still go
-// elsewhere.
+// tryDeadline returns the deadline of the current try. It is shorter for the
+// first try of a read, which can still be retried on another target.
 func (j *job) tryDeadline(a *attempt) time.Time {
 	if a.statement.Writes || a.tries > 0 {
 		return a.deadline
 	}
-	early := time.Now().Add(patience)
-	if early.Before(a.deadline) {
-		return early
+	tryDeadline := time.Now().Add(firstReadTimeout)
+	if tryDeadline.Before(a.deadline) {
+		return tryDeadline
 	}
 	return a.deadline
 }
 
-// judge decides what an answer is worth.
-func (j *job) judge(a *attempt, lease *rosefleet.Lease, answer rosemary.Answer) tryResult {
+// classify decides whether an answer is final, is retried, or leaves the
+// outcome of a write unknown.
+func (j *job) classify(a *attempt, lease *rosefleet.Lease, answer rosemary.Answer) tryResult {
 	writes := a.statement.Writes
 	switch answer.Failure {
 	case rosemary.FailureNone:
@@ -198,7 +204,7 @@
 			if writes {
 				return tryUnknown
 			}
-			return tryAgain
+			return tryRetry
 		}
 		if writes {
 			j.task.MinPosition = j.task.MinPosition.Max(answer.Position)
@@ -207,24 +213,24 @@
 	case rosemary.FailureLagging:
 		a.primary = a.tries > 0
 		a.avoid = lease.Target()
-		return tryAgain
+		return tryRetry
 	case rosemary.FailureReadOnly, rosemary.FailureBusy:
 		a.avoid = lease.Target()
-		return tryAgain
+		return tryRetry
 	case rosemary.FailureUnknownStatement:
-		lease.SetSessionState(&memo{values: j.task.Values, prepared: make(map[string]bool)})
-		return tryAgain
+		lease.SetSessionState(&sessionState{values: j.task.Values, prepared: make(map[string]bool)})
+		return tryRetry
 	case rosemary.FailureExecution, rosemary.FailureTimeout:
 		if writes {
 			return tryDone
 		}
 		a.avoid = lease.Target()
-		return tryAgain
+		return tryRetry
 	}
 	return tryDone
 }
 
-func preludeHolds(answers []rosemary.Answer) bool {
+func allSucceeded(answers []rosemary.Answer) bool {
 	for _, a := range answers {
 		if a.Failure != rosemary.FailureNone {
 			return false
--- a/pkg/rosecaller/session.go
+++ b/pkg/rosecaller/session.go
@@ -1,6 +1,6 @@
-// Package rosecaller is the core of a caller's session, free of any protocol:
-// its values and prepared names, its transaction, the floor of its reads, and
-// the truth of what it is told.
+// Package rosecaller implements client sessions independently of the client
+// protocol: settings, prepared statements, transactions, read-your-writes
+// positions, and retries that report the true outcome of a statement.
 package rosecaller
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Directory answers what the configuration in force says. Its answers may
-// change from call to call.
+// Directory looks up the active configuration. Its answers may change between
+// calls.
 type Directory interface {
 	// Route returns the route of a database.
 	Route(database string) (rosemary.Route, bool)
-	// TransactionIdle is how long a transaction may rest.
+	// TransactionIdleTimeout is how long a transaction may be idle.
 	TransactionIdleTimeout() time.Duration
 }
 
-// Config sets up a Session.
+// Config configures a Session.
 type Config struct {
 	Directory Directory
 	Database  string
@@ -29,150 +29,153 @@
 	Observer  Observer
 }
 
-// Observer is told of what became of requests. It must not block.
+// Observer receives the results of requests. Its methods must not block.
 type Observer interface {
-	// Served is told of an answer of a target and the time that it took.
+	// Served reports a successful answer of a target and how long it took.
 	Served(task Task, result Result, took time.Duration)
-	// Refused is told of a refusal, of the last target that was asked, and of
-	// the time that it took.
+	// Refused reports a refusal, the last target that was used, and how long
+	// the request took.
 	Refused(database, id string, refusal *rosemary.Refusal, target rosemary.TargetID, took time.Duration)
 }
 
-// owners numbers the sessions of the process.
-var owners atomic.Uint64
+// lastSessionID numbers the sessions of this process.
+var lastSessionID atomic.Uint64
 
-// Session is one caller's session. It serves one statement at a time.
+// Session is the session of one client. It runs one statement at a time.
 type Session struct {
 	config Config
-	owner  uint64
+	id     uint64
 	values map[string]string
-	// prepared holds, by the caller's names, the preparations that all
-	// sessions share.
+	// prepared maps the client's names to prepare statements whose names are
+	// shared by all sessions.
 	prepared map[string]rosemary.Statement
-	// floor is the position of the session's last acknowledged write.
-	floor rosemary.Position
-	// uncertain is set once the outcome of a write is unknown.
-	uncertain bool
-
-	block    rosemary.TransactionState
-	readOnly bool
-	route    rosemary.Route
+	// minPosition is the log position of the session's last acknowledged
+	// write.
+	minPosition rosemary.Position
+	// minPositionUnknown is set once the outcome of a write is unknown.
+	minPositionUnknown bool
+
+	transactionState rosemary.TransactionState
+	readOnly         bool
+	route            rosemary.Route
 	// transaction is nil until a target runs its first statement.
 	transaction Transaction
-	// asked is the last target that was asked.
-	asked rosemary.TargetID
-	// expired is set once the transaction was ended while its caller rested,
-	// until the caller has been told.
+	// lastTarget is the last target that the current statement used.
+	lastTarget rosemary.TargetID
+	// expired is set when a transaction is rolled back because its client was
+	// idle, until the client has received the error.
 	expired bool
 }
 
-// New returns a session on a database.
+// New returns a session on the database of config.
 func New(config Config) *Session {
-	return &Session{config: config, owner: owners.Add(1), prepared: make(map[string]rosemary.Statement)}
+	return &Session{config: config, id: lastSessionID.Add(1), prepared: make(map[string]rosemary.Statement)}
 }
 
 // TransactionState returns the state of the session's transaction.
-func (s *Session) TransactionState() rosemary.TransactionState { return s.block }
+func (s *Session) TransactionState() rosemary.TransactionState { return s.transactionState }
 
-// IdleTimeout is how long the caller may rest now; zero means without limit.
+// IdleTimeout returns how long the client may be idle now; zero means without
+// limit.
 func (s *Session) IdleTimeout() time.Duration {
-	if s.block != rosemary.TransactionOpen {
+	if s.transactionState != rosemary.TransactionOpen {
 		return 0
 	}
 	return s.config.Directory.TransactionIdleTimeout()
 }
 
-// Expire ends a transaction whose caller rested for too long. The caller
-// learns of it with its next statement.
+// Expire rolls back a transaction whose client was idle for too long. The
+// client's next statement gets the error.
 func (s *Session) Expire() {
 	s.rollback()
-	s.block, s.expired = rosemary.TransactionFailed, true
+	s.transactionState, s.expired = rosemary.TransactionFailed, true
 }
 
-// Close ends the session and rolls back what is open.
+// Close ends the session and rolls back an open transaction.
 func (s *Session) Close() {
 	s.rollback()
-	s.block = rosemary.TransactionNone
+	s.transactionState = rosemary.TransactionNone
 }
 
-// Do runs one statement. The answer's block is that of the session after it.
-// With a refusal there is no answer.
+// Do runs one statement. The transaction state in the answer is that of the
+// session after the statement, even with a refusal; the rest of the answer is
+// then empty.
 func (s *Session) Do(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
-	s.asked = ""
+	s.lastTarget = ""
 	started := time.Now()
 	answer, refusal := s.do(ctx, statement)
-	answer.TransactionState = s.block
+	answer.TransactionState = s.transactionState
 	if refusal != nil {
-		s.config.Observer.Refused(s.config.Database, statement.ID, refusal, s.asked, time.Since(started))
+		s.config.Observer.Refused(s.config.Database, statement.ID, refusal, s.lastTarget, time.Since(started))
 	}
 	return answer, refusal
 }
 
 func (s *Session) do(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
-	if s.block == rosemary.TransactionFailed && statement.Kind != rosemary.StatementRollback && statement.Kind != rosemary.StatementCommit {
+	if s.transactionState == rosemary.TransactionFailed && statement.Kind != rosemary.StatementRollback && statement.Kind != rosemary.StatementCommit {
 		if s.expired {
 			s.expired = false
-			return rosemary.Answer{}, aborted("the transaction rested for too long and was rolled back")
+			return rosemary.Answer{}, aborted("the transaction was idle for too long and was rolled back")
 		}
-		return rosemary.Answer{}, inFailedBlock()
+		return rosemary.Answer{}, transactionFailed()
 	}
 	switch statement.Kind {
 	case rosemary.StatementSet:
-		changed := maps.Clone(s.values)
-		if changed == nil {
-			changed = make(map[string]string)
+		values := maps.Clone(s.values)
+		if values == nil {
+			values = make(map[string]string)
 		}
-		changed[statement.Name] = statement.Payload
-		s.values = changed
-		return local(), nil
+		values[statement.Name] = statement.Payload
+		s.values = values
+		return localAnswer(), nil
 	case rosemary.StatementPrepare:
-		s.prepared[statement.Name] = newPrepared(statement)
-		return local(), nil
+		s.prepared[statement.Name] = withSharedName(statement)
+		return localAnswer(), nil
 	case rosemary.StatementClose:
 		if _, known := s.prepared[statement.Name]; !known {
-			return rosemary.Answer{}, unknownName(statement.Name)
+			return rosemary.Answer{}, unknownStatement(statement.Name)
 		}
 		delete(s.prepared, statement.Name)
-		return local(), nil
+		return localAnswer(), nil
 	case rosemary.StatementBegin:
-		return s.startBlock(statement)
+		return s.startTransaction(statement)
 	case rosemary.StatementRollback:
 		s.rollback()
-		s.block = rosemary.TransactionNone
-		return local(), nil
+		s.transactionState = rosemary.TransactionNone
+		return localAnswer(), nil
 	}
 	return s.run(ctx, statement)
 }
 
-// startBlock opens a transaction. The target learns of it with the first
-// statement.
-func (s *Session) startBlock(statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
-	if s.block != rosemary.TransactionNone {
-		return rosemary.Answer{}, protocolError("a transaction is open already", "end it first")
+// startTransaction opens a transaction. The target is chosen, and gets the
+// begin, with the transaction's first statement.
+func (s *Session) startTransaction(statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
+	if s.transactionState != rosemary.TransactionNone {
+		return rosemary.Answer{}, protocolError("a transaction is already open", "commit or roll back the transaction first")
 	}
 	route, found := s.config.Directory.Route(s.config.Database)
 	if !found {
 		return rosemary.Answer{}, unknownDatabase(s.config.Database)
 	}
-	s.block, s.readOnly, s.route, s.expired = rosemary.TransactionOpen, statement.ReadOnly, route, false
-	return local(), nil
+	s.transactionState, s.readOnly, s.route, s.expired = rosemary.TransactionOpen, statement.ReadOnly, route, false
+	return localAnswer(), nil
 }
 
-// run serves a statement that a target has to run.
+// run runs a statement on a target.
 func (s *Session) run(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
-	if statement.Kind == rosemary.StatementCommit && s.block != rosemary.TransactionOpen {
-		return s.commitWithoutBlock()
+	if statement.Kind == rosemary.StatementCommit && s.transactionState != rosemary.TransactionOpen {
+		return s.commitOutsideTransaction()
 	}
-	task := Task{SessionID: s.owner, Values: s.values, MinPosition: s.floor, MinPositionUnknown: s.uncertain}
+	task := Task{SessionID: s.id, Values: s.values, MinPosition: s.minPosition, MinPositionUnknown: s.minPositionUnknown}
 	if statement.Kind == rosemary.StatementExecute {
 		p, known := s.prepared[statement.Name]
 		if !known {
-			return rosemary.Answer{}, unknownName(statement.Name)
+			return rosemary.Answer{}, unknownStatement(statement.Name)
 		}
 		statement.Name, statement.Writes = p.Name, p.Writes
 		task.Prepared = p
 	}
-	if s.block == rosemary.TransactionNone {
+	if s.transactionState == rosemary.TransactionNone {
 		route, found := s.config.Directory.Route(s.config.Database)
 		if !found {
 			return rosemary.Answer{}, unknownDatabase(s.config.Database)
@@ -181,7 +184,7 @@
 	}
 	started := time.Now()
 	task.Statement, task.Route, task.ReadOnly = statement, s.route, s.readOnly
-	task.Deadline, task.SoftDeadline = started.Add(s.route.Class.Deadline-answerSlack), started.Add(s.route.LatencyObjective)
+	task.Deadline, task.SoftDeadline = started.Add(s.route.Class.Deadline-answerMargin), started.Add(s.route.LatencyObjective)
 	result := s.execute(ctx, task)
 	if result.Refusal == nil && result.Answer.Failure == rosemary.FailureNone {
 		s.config.Observer.Served(task, result, time.Since(started))
@@ -189,11 +192,11 @@
 	return result.Answer, result.Refusal
 }
 
-// execute has a target run a task, and takes in what became of it.
+// execute runs a task on a target and updates the session from the result.
 func (s *Session) execute(ctx context.Context, task Task) Result {
 	var result Result
 	switch {
-	case s.block == rosemary.TransactionNone:
+	case s.transactionState == rosemary.TransactionNone:
 		result = s.config.Executor.Run(ctx, task)
 	case s.transaction == nil:
 		s.transaction, result = s.config.Executor.Begin(ctx, task)
@@ -203,22 +206,22 @@
 	if !result.Open {
 		s.transaction = nil
 	}
-	s.block, s.floor, s.uncertain, s.asked = result.Answer.TransactionState, result.MinPosition, result.MinPositionUnknown, result.Target
+	s.transactionState, s.minPosition, s.minPositionUnknown, s.lastTarget = result.Answer.TransactionState, result.MinPosition, result.MinPositionUnknown, result.Target
 	return result
 }
 
-// commitWithoutBlock answers a commit outside an open transaction. One that
-// failed is rolled back.
-func (s *Session) commitWithoutBlock() (rosemary.Answer, *rosemary.Refusal) {
-	if s.block == rosemary.TransactionFailed {
+// commitOutsideTransaction answers a commit when no transaction is open. A
+// failed transaction is rolled back.
+func (s *Session) commitOutsideTransaction() (rosemary.Answer, *rosemary.Refusal) {
+	if s.transactionState == rosemary.TransactionFailed {
 		s.rollback()
-		s.block = rosemary.TransactionNone
-		return rosemary.Answer{}, aborted("the transaction had failed and was rolled back")
+		s.transactionState = rosemary.TransactionNone
+		return rosemary.Answer{}, aborted("the transaction failed earlier and was rolled back")
 	}
-	return rosemary.Answer{}, protocolError("no transaction is open", "begin one first")
+	return rosemary.Answer{}, protocolError("no transaction is open", "begin a transaction first")
 }
 
-// rollback ends what is open on a target.
+// rollback rolls back a transaction that is open on a target.
 func (s *Session) rollback() {
 	if s.transaction != nil {
 		s.transaction.Rollback()
@@ -226,7 +229,8 @@
 	}
 }
 
-func local() rosemary.Answer { return rosemary.Answer{Digest: localDigest} }
+func localAnswer() rosemary.Answer { return rosemary.Answer{Digest: localDigest} }
 
-// localDigest is that of statements which no target ran.
+// localDigest is the digest in answers to statements that the proxy handles
+// itself.
 const localDigest = "-"
--- a/pkg/rosecaller/session_test.go
+++ b/pkg/rosecaller/session_test.go
@@ -11,57 +11,55 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// script is an executor that answers with results in turn and keeps the tasks.
-type script struct {
-	results []rosecaller.Result
-	tasks   []rosecaller.Task
-	rolled  int
+// executor returns the given results in turn and records the tasks.
+type executor struct {
+	results   []rosecaller.Result
+	tasks     []rosecaller.Task
+	rollbacks int
 }
 
-func (s *script) next(task rosecaller.Task) rosecaller.Result {
-	s.tasks = append(s.tasks, task)
-	result := s.results[0]
-	s.results = s.results[1:]
+func (e *executor) pop(task rosecaller.Task) rosecaller.Result {
+	e.tasks = append(e.tasks, task)
+	result := e.results[0]
+	e.results = e.results[1:]
 	return result
 }
 
-// Run answers a statement outside a transaction.
-func (s *script) Run(_ context.Context, task rosecaller.Task) rosecaller.Result { return s.next(task) }
+// Run returns the next result.
+func (e *executor) Run(_ context.Context, t rosecaller.Task) rosecaller.Result { return e.pop(t) }
 
-// Begin opens a transaction if the result says so.
-func (s *script) Begin(_ context.Context, task rosecaller.Task) (rosecaller.Transaction, rosecaller.Result) {
-	result := s.next(task)
+// Begin returns a transaction if the next result is open.
+func (e *executor) Begin(_ context.Context, task rosecaller.Task) (rosecaller.Transaction, rosecaller.Result) {
+	result := e.pop(task)
 	if !result.Open {
 		return nil, result
 	}
-	return s, result
+	return e, result
 }
 
-// Next answers a further statement.
-func (s *script) Execute(_ context.Context, task rosecaller.Task) rosecaller.Result {
-	return s.next(task)
-}
+// Execute returns the next result.
+func (e *executor) Execute(_ context.Context, t rosecaller.Task) rosecaller.Result { return e.pop(t) }
 
-// Rollback counts.
-func (s *script) Rollback() { s.rolled++ }
+// Rollback counts its calls.
+func (e *executor) Rollback() { e.rollbacks++ }
 
-// Route returns the only route.
-func (s *script) Route(database string) (rosemary.Route, bool) {
+// Route knows the database "db" only.
+func (e *executor) Route(database string) (rosemary.Route, bool) {
 	return rosemary.Route{Database: database, Group: "g", LatencyObjective: 100 * time.Millisecond, Class: rosemary.Class{Name: "own", Deadline: time.Second}}, database == "db"
 }
 
-// TransactionIdle is short.
-func (s *script) TransactionIdleTimeout() time.Duration { return time.Second }
+// TransactionIdleTimeout returns one second.
+func (e *executor) TransactionIdleTimeout() time.Duration { return time.Second }
 
 // Served and Refused do nothing.
-func (s *script) Served(rosecaller.Task, rosecaller.Result, time.Duration) {}
+func (e *executor) Served(rosecaller.Task, rosecaller.Result, time.Duration) {}
 
-func (s *script) Refused(string, string, *rosemary.Refusal, rosemary.TargetID, time.Duration) {
+func (e *executor) Refused(string, string, *rosemary.Refusal, rosemary.TargetID, time.Duration) {
 }
 
-func newSession(results ...rosecaller.Result) (*rosecaller.Session, *script) {
-	s := &script{results: results}
-	return rosecaller.New(rosecaller.Config{Directory: s, Database: "db", Executor: s, Observer: s}), s
+func newSession(results ...rosecaller.Result) (*rosecaller.Session, *executor) {
+	e := &executor{results: results}
+	return rosecaller.New(rosecaller.Config{Directory: e, Database: "db", Executor: e, Observer: e}), e
 }
 
 func statement(kind rosemary.StatementKind, name, payload string) rosemary.Statement {
@@ -70,10 +68,10 @@
 
 var position = rosemary.Position{LogTerm: 2, Offset: 7}
 
-func TestTaskCarriesTheSession(t *testing.T) {
+func TestTaskCarriesSessionState(t *testing.T) {
 	c := qt.New(t)
 	done := rosecaller.Result{Answer: rosemary.Answer{Digest: "d"}, MinPosition: position}
-	session, s := newSession(done, done, rosecaller.Result{Refusal: &rosemary.Refusal{}, MinPosition: position, MinPositionUnknown: true}, done)
+	session, e := newSession(done, done, rosecaller.Result{Refusal: &rosemary.Refusal{}, MinPosition: position, MinPositionUnknown: true}, done)
 	do := func(st rosemary.Statement) { _, _ = session.Do(context.Background(), st) }
 	do(statement(rosemary.StatementSet, "tenant", "red"))
 	do(statement(rosemary.StatementPrepare, "mine", "shape"))
@@ -81,22 +79,22 @@
 	do(statement(rosemary.StatementExecute, "mine", "x"))
 	do(statement(rosemary.StatementWrite, "", "w"))
 	do(statement(rosemary.StatementRead, "", "r"))
-	c.Assert(s.tasks, qt.HasLen, 4)
-	c.Check(s.tasks[0].MinPosition.IsZero(), qt.IsTrue)
-	c.Check(s.tasks[1].MinPosition, qt.Equals, position)
-	c.Check(s.tasks[1].Values, qt.DeepEquals, map[string]string{"tenant": "red"})
-	c.Check(s.tasks[1].Prepared.Payload, qt.Equals, "shape")
-	c.Check(s.tasks[1].Statement.Name, qt.Equals, s.tasks[1].Prepared.Name)
-	c.Check(s.tasks[1].Statement.Name, qt.Not(qt.Equals), "mine")
-	c.Check(s.tasks[2].MinPositionUnknown, qt.IsFalse)
-	c.Check(s.tasks[3].MinPositionUnknown, qt.IsTrue)
+	c.Assert(e.tasks, qt.HasLen, 4)
+	c.Check(e.tasks[0].MinPosition.IsZero(), qt.IsTrue)
+	c.Check(e.tasks[1].MinPosition, qt.Equals, position)
+	c.Check(e.tasks[1].Values, qt.DeepEquals, map[string]string{"tenant": "red"})
+	c.Check(e.tasks[1].Prepared.Payload, qt.Equals, "shape")
+	c.Check(e.tasks[1].Statement.Name, qt.Equals, e.tasks[1].Prepared.Name)
+	c.Check(e.tasks[1].Statement.Name, qt.Not(qt.Equals), "mine")
+	c.Check(e.tasks[2].MinPositionUnknown, qt.IsFalse)
+	c.Check(e.tasks[3].MinPositionUnknown, qt.IsTrue)
 }
 
-func TestTransactionStaysWithItsExecutor(t *testing.T) {
+func TestOpenTransactionRunsFurtherStatements(t *testing.T) {
 	c := qt.New(t)
 	open := rosecaller.Result{Answer: rosemary.Answer{Digest: "d", TransactionState: rosemary.TransactionOpen}, Open: true}
 	failed := rosecaller.Result{Answer: rosemary.Answer{Failure: rosemary.FailureExecution, TransactionState: rosemary.TransactionFailed}, Open: true}
-	session, s := newSession(open, failed)
+	session, e := newSession(open, failed)
 	for _, kind := range []rosemary.StatementKind{rosemary.StatementBegin, rosemary.StatementRead, rosemary.StatementWrite} {
 		_, refusal := session.Do(context.Background(), statement(kind, "", "x"))
 		c.Assert(refusal == nil, qt.IsTrue)
@@ -106,18 +104,18 @@
 	c.Check(refusal.Kind, qt.Equals, rosemary.KindProtocol)
 	_, refusal = session.Do(context.Background(), statement(rosemary.StatementRollback, "", ""))
 	c.Check(refusal == nil, qt.IsTrue)
-	c.Check(s.rolled, qt.Equals, 1)
+	c.Check(e.rollbacks, qt.Equals, 1)
 	c.Check(session.TransactionState(), qt.Equals, rosemary.TransactionNone)
 }
 
-func TestExpiredTransactionIsTold(t *testing.T) {
+func TestExpiredTransactionIsReported(t *testing.T) {
 	c := qt.New(t)
-	session, s := newSession(rosecaller.Result{Answer: rosemary.Answer{Digest: "d", TransactionState: rosemary.TransactionOpen}, Open: true})
+	session, e := newSession(rosecaller.Result{Answer: rosemary.Answer{Digest: "d", TransactionState: rosemary.TransactionOpen}, Open: true})
 	_, _ = session.Do(context.Background(), statement(rosemary.StatementBegin, "", ""))
 	_, _ = session.Do(context.Background(), statement(rosemary.StatementWrite, "", "w"))
 	c.Check(session.IdleTimeout(), qt.Equals, time.Second)
 	session.Expire()
-	c.Check(s.rolled, qt.Equals, 1)
+	c.Check(e.rollbacks, qt.Equals, 1)
 	_, refusal := session.Do(context.Background(), statement(rosemary.StatementWrite, "", "w"))
 	c.Check(refusal.Kind, qt.Equals, rosemary.KindAborted)
 	_, refusal = session.Do(context.Background(), statement(rosemary.StatementCommit, "", ""))
@@ -125,17 +123,17 @@
 	c.Check(session.TransactionState(), qt.Equals, rosemary.TransactionNone)
 }
 
-func TestWhatALostAnswerMeans(t *testing.T) {
+func TestConnectionLostResult(t *testing.T) {
 	task := func(kind rosemary.StatementKind) rosecaller.Task {
 		return rosecaller.Task{Statement: statement(kind, "", "x"), MinPosition: position}
 	}
 	tests := []struct {
-		name           string
-		kind           rosemary.StatementKind
-		inBlock, wrote bool
-		outcome        rosemary.Outcome
-		block          rosemary.TransactionState
-		uncertain      bool
+		name                 string
+		kind                 rosemary.StatementKind
+		inTransaction, wrote bool
+		outcome              rosemary.Outcome
+		state                rosemary.TransactionState
+		positionUnknown      bool
 	}{
 		{"a read", rosemary.StatementRead, false, false, rosemary.OutcomeUnknown, rosemary.TransactionNone, false},
 		{"a write", rosemary.StatementWrite, false, false, rosemary.OutcomeUnknown, rosemary.TransactionNone, true},
@@ -145,10 +143,10 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			result := rosecaller.ConnectionLostResult(task(test.kind), "t-1", test.inBlock, test.wrote)
+			result := rosecaller.ConnectionLostResult(task(test.kind), "t-1", test.inTransaction, test.wrote)
 			qt.Check(t, result.Refusal.Outcome, qt.Equals, test.outcome)
-			qt.Check(t, result.Answer.TransactionState, qt.Equals, test.block)
-			qt.Check(t, result.MinPositionUnknown, qt.Equals, test.uncertain)
+			qt.Check(t, result.Answer.TransactionState, qt.Equals, test.state)
+			qt.Check(t, result.MinPositionUnknown, qt.Equals, test.positionUnknown)
 			qt.Check(t, result.MinPosition, qt.Equals, position)
 			qt.Check(t, result.Open, qt.IsFalse)
 		})
