--- a/pkg/roserelay/client.go
+++ b/pkg/roserelay/client.go
@@ -18,35 +18,36 @@
 )
 
 const (
-	// Path is where peers serve links.
+	// Path is the HTTP path at which proxies accept links.
 	Path = "/tasks"
-	// dialTimeout bounds the connection to a home.
+	// dialTimeout bounds the time to connect to a home proxy.
 	dialTimeout = 400 * time.Millisecond
-	// redialPause is how long a home that wasn't reached isn't tried.
-	redialPause = 300 * time.Millisecond
-	// answerSlack is added to a task's time for the way of its result.
-	answerSlack = 100 * time.Millisecond
+	// redialDelay is the wait before dialing an unreachable home proxy again.
+	redialDelay = 300 * time.Millisecond
+	// resultMargin is added to a task's deadline for the transfer of its
+	// result.
+	resultMargin = 100 * time.Millisecond
 )
 
-// Delivery is how far an order came.
+// Delivery tells whether an order was sent and answered.
 type Delivery int
 
 // Deliveries of an order.
 const (
-	// Answered has a result.
+	// Answered means that the result was received.
 	Answered Delivery = iota
-	// NotSent never left this proxy.
+	// NotSent means that nothing was sent.
 	NotSent
-	// Unanswered may have run.
+	// Unanswered means that the task may have run, but no result came.
 	Unanswered
 )
 
-// ClientConfig sets up a Client.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	Dialer rosemary.Dialer
 }
 
-// Client has other proxies run tasks. Its methods may be called concurrently.
+// Client runs tasks on other proxies. Its methods may be called concurrently.
 type Client struct {
 	config  ClientConfig
 	http    *http.Client
@@ -57,7 +58,7 @@
 	links map[string]*link
 }
 
-// link is the connection to one home.
+// link is the connection to one home proxy.
 type link struct {
 	address string
 	// opened is closed once conn or err is set.
@@ -68,16 +69,16 @@
 	context  context.Context
 	cancel   context.CancelFunc
 
-	mu      sync.Mutex
-	number  uint64
-	waiting map[uint64]chan *rosewire.Result
-	// open counts transactions, which need signs of life between statements.
-	open    int
-	heardAt time.Time
-	sentAt  time.Time
+	mu         sync.Mutex
+	lastNumber uint64
+	pending    map[uint64]chan *rosewire.Result
+	// openTransactions need heartbeats between their statements.
+	openTransactions int
+	lastReceivedAt   time.Time
+	lastSentAt       time.Time
 }
 
-// NewClient returns a client; Close ends it.
+// NewClient returns a client; Close ends its links.
 func NewClient(config ClientConfig) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	transport := &http.Transport{
@@ -92,52 +93,52 @@
 	}
 }
 
-// Close ends every link.
+// Close ends all links.
 func (c *Client) Close() { c.cancel() }
 
-// Run has a home run a statement outside a transaction.
+// Run runs a statement outside a transaction on a home proxy.
 func (c *Client) Run(ctx context.Context, home rosemary.Member, task rosecaller.Task) (rosecaller.Result, Delivery) {
 	l, err := c.link(home)
 	if err != nil {
 		return rosecaller.Result{}, NotSent
 	}
-	result, _, delivery := l.order(ctx, &rosewire.Order{Do: doRun}, task)
+	result, _, delivery := l.execute(ctx, &rosewire.Order{Do: doRun}, task)
 	return result, delivery
 }
 
-// Begin has a home open a transaction with its first statement.
+// Begin opens a transaction with its first statement on a home proxy.
 func (c *Client) Begin(ctx context.Context, home rosemary.Member, task rosecaller.Task) (rosecaller.Transaction, rosecaller.Result, Delivery) {
 	l, err := c.link(home)
 	if err != nil {
 		return nil, rosecaller.Result{}, NotSent
 	}
-	result, number, delivery := l.order(ctx, &rosewire.Order{Do: doBegin}, task)
+	result, number, delivery := l.execute(ctx, &rosewire.Order{Do: doBegin}, task)
 	if delivery == Unanswered {
-		l.forget(number)
+		l.sendRollback(number)
 	}
 	if delivery != Answered || !result.Open {
 		return nil, result, delivery
 	}
 	l.mu.Lock()
-	l.open++
+	l.openTransactions++
 	l.mu.Unlock()
-	return &remote{link: l, number: number, wrote: task.Statement.Writes}, result, Answered
+	return &remoteTransaction{link: l, number: number, wrote: task.Statement.Writes}, result, Answered
 }
 
-// remote is a transaction that is open at a home.
-type remote struct {
+// remoteTransaction is open on a home proxy.
+type remoteTransaction struct {
 	link   *link
 	number uint64
 	wrote  bool
-	over   bool
+	ended  bool
 }
 
-var _ rosecaller.Transaction = (*remote)(nil)
+var _ rosecaller.Transaction = (*remoteTransaction)(nil)
 
-// Next has the home run a further statement.
-func (r *remote) Execute(ctx context.Context, task rosecaller.Task) rosecaller.Result {
+// Execute runs a further statement of the transaction.
+func (r *remoteTransaction) Execute(ctx context.Context, task rosecaller.Task) rosecaller.Result {
 	r.wrote = r.wrote || task.Statement.Writes
-	result, _, delivery := r.link.order(ctx, &rosewire.Order{Do: doNext, Transaction: &r.number}, task)
+	result, _, delivery := r.link.execute(ctx, &rosewire.Order{Do: doNext, Transaction: &r.number}, task)
 	switch delivery {
 	case NotSent:
 		result = rosecaller.ConnectionLostResult(task, "", true, false)
@@ -147,37 +148,37 @@
 	if delivery != Answered {
 		r.Rollback()
 	} else if !result.Open {
-		r.end()
+		r.markEnded()
 	}
 	return result
 }
 
-// Rollback has the home roll the transaction back. A home that can't be told
-// does so when it misses signs of life.
-func (r *remote) Rollback() {
-	if r.over {
+// Rollback rolls the transaction back. A home proxy that can't be reached does
+// so by itself when heartbeats stop.
+func (r *remoteTransaction) Rollback() {
+	if r.ended {
 		return
 	}
-	r.end()
-	r.link.forget(r.number)
+	r.markEnded()
+	r.link.sendRollback(r.number)
 }
 
-func (r *remote) end() {
-	if r.over {
+func (r *remoteTransaction) markEnded() {
+	if r.ended {
 		return
 	}
-	r.over = true
+	r.ended = true
 	r.link.mu.Lock()
-	r.link.open--
+	r.link.openTransactions--
 	r.link.mu.Unlock()
 }
 
-// link returns the link to a home, and opens it if there is none.
+// link returns the link to a home proxy, opening one if needed.
 func (c *Client) link(home rosemary.Member) (*link, error) {
 	c.mu.Lock()
 	l := c.links[home.Address]
-	if l == nil || l.over() {
-		l = &link{address: home.Address, opened: make(chan struct{}), waiting: make(map[uint64]chan *rosewire.Result)}
+	if l == nil || l.canReopen() {
+		l = &link{address: home.Address, opened: make(chan struct{}), pending: make(map[uint64]chan *rosewire.Result)}
 		l.context, l.cancel = context.WithCancel(c.context)
 		c.links[home.Address] = l
 		go c.open(l, home)
@@ -187,15 +188,15 @@
 	return l, l.err
 }
 
-// over reports whether a link has ended, and may be opened again.
-func (l *link) over() bool {
+// canReopen reports whether a link has ended and may be replaced by a new one.
+func (l *link) canReopen() bool {
 	select {
 	case <-l.opened:
 	default:
 		return false
 	}
 	if l.err != nil {
-		return time.Since(l.failedAt) > redialPause
+		return time.Since(l.failedAt) > redialDelay
 	}
 	return l.context.Err() != nil
 }
@@ -206,44 +207,44 @@
 	cancel()
 	if err != nil {
 		klog.InfoS("home not reached", "home", home.Proxy, "err", roselog.Err(err))
-		l.failedAt, l.err = time.Now(), trace.ConnectionProblem(err, "home %s", home.Proxy)
+		l.failedAt, l.err = time.Now(), trace.ConnectionProblem(err, "connecting to home proxy %s", home.Proxy)
 		l.cancel()
 		close(l.opened)
 		return
 	}
 	conn.SetReadLimit(maxMessageBytes)
-	l.conn, l.heardAt, l.sentAt = conn, time.Now(), time.Now()
+	l.conn, l.lastReceivedAt, l.lastSentAt = conn, time.Now(), time.Now()
 	close(l.opened)
-	go l.beat()
-	l.receive()
+	go l.sendHeartbeats()
+	l.receiveResults()
 	l.cancel()
 	conn.CloseNow()
-	klog.InfoS("link to a home ended", "home", home.Proxy, "unanswered", l.abandon())
+	klog.InfoS("link to a home ended", "home", home.Proxy, "unanswered", l.failPending())
 }
 
-// receive hands results to those who wait for them until the link ends.
-func (l *link) receive() {
+// receiveResults delivers results to pending calls until the link ends.
+func (l *link) receiveResults() {
 	for {
 		message, err := receive(l.context, l.conn)
 		if err != nil {
 			return
 		}
 		l.mu.Lock()
-		l.heardAt = time.Now()
+		l.lastReceivedAt = time.Now()
 		if message.Result != nil {
-			if waiting := l.waiting[message.Result.Number]; waiting != nil {
-				waiting <- message.Result
-				delete(l.waiting, message.Result.Number)
+			if pending := l.pending[message.Result.Number]; pending != nil {
+				pending <- message.Result
+				delete(l.pending, message.Result.Number)
 			}
 		}
 		l.mu.Unlock()
 	}
 }
 
-// beat sends signs of life while something is under way, and ends the link if
-// none come back.
-func (l *link) beat() {
-	ticker := time.NewTicker(beatInterval)
+// sendHeartbeats sends heartbeats while the link is busy, and ends the link if
+// nothing is received for heartbeatTimeout.
+func (l *link) sendHeartbeats() {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	busySince := time.Time{}
 	for {
@@ -253,8 +254,8 @@
 			return
 		}
 		l.mu.Lock()
-		busy := l.open > 0 || len(l.waiting) > 0
-		heardAt := l.heardAt
+		busy := l.openTransactions > 0 || len(l.pending) > 0
+		lastReceivedAt := l.lastReceivedAt
 		l.mu.Unlock()
 		if !busy {
 			busySince = time.Time{}
@@ -263,54 +264,55 @@
 		if busySince.IsZero() {
 			busySince = time.Now()
 		}
-		if heardAt.Before(busySince) {
-			heardAt = busySince
+		if lastReceivedAt.Before(busySince) {
+			lastReceivedAt = busySince
 		}
-		if time.Since(heardAt) > silenceLimit {
-			klog.InfoS("link to a home given up", "address", l.address, "why", "it is silent")
+		if time.Since(lastReceivedAt) > heartbeatTimeout {
+			klog.InfoS("link to a home given up", "address", l.address, "why", "heartbeat timeout")
 			l.cancel()
 			return
 		}
-		if err := send(l.context, l.conn, rosewire.Message{Order: &rosewire.Order{Do: doBeat}}); err != nil {
+		if err := send(l.context, l.conn, rosewire.Message{Order: &rosewire.Order{Do: doHeartbeat}}); err != nil {
 			l.cancel()
 			return
 		}
 	}
 }
 
-// abandon tells those who wait that no result will come.
-func (l *link) abandon() int {
+// failPending ends all pending calls without a result, and returns their
+// number.
+func (l *link) failPending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	count := len(l.waiting)
-	for number, waiting := range l.waiting {
-		close(waiting)
-		delete(l.waiting, number)
+	count := len(l.pending)
+	for number, pending := range l.pending {
+		close(pending)
+		delete(l.pending, number)
 	}
 	return count
 }
 
-// order sends an order and waits for its result.
-func (l *link) order(ctx context.Context, order *rosewire.Order, task rosecaller.Task) (rosecaller.Result, uint64, Delivery) {
-	waiting := make(chan *rosewire.Result, 1)
+// execute sends an order and waits for its result.
+func (l *link) execute(ctx context.Context, order *rosewire.Order, task rosecaller.Task) (rosecaller.Result, uint64, Delivery) {
+	pending := make(chan *rosewire.Result, 1)
 	l.mu.Lock()
 	if l.context.Err() != nil {
 		l.mu.Unlock()
 		return rosecaller.Result{}, 0, NotSent
 	}
-	l.number++
-	number := l.number
-	l.waiting[number] = waiting
+	l.lastNumber++
+	number := l.lastNumber
+	l.pending[number] = pending
 	l.mu.Unlock()
 	order.Number, order.Task = number, encodeTask(task)
 	if err := send(l.context, l.conn, rosewire.Message{Order: order}); err != nil {
 		l.cancel()
 		return rosecaller.Result{}, number, Unanswered
 	}
-	timer := time.NewTimer(time.Until(task.Deadline) + answerSlack)
+	timer := time.NewTimer(time.Until(task.Deadline) + resultMargin)
 	defer timer.Stop()
 	select {
-	case result := <-waiting:
+	case result := <-pending:
 		if result != nil {
 			return decodeResult(result), number, Answered
 		}
@@ -318,13 +320,14 @@
 	case <-ctx.Done():
 	}
 	l.mu.Lock()
-	delete(l.waiting, number)
+	delete(l.pending, number)
 	l.mu.Unlock()
 	return rosecaller.Result{}, number, Unanswered
 }
 
-// forget has the home roll back a transaction that nobody needs any more.
-func (l *link) forget(number uint64) {
+// sendRollback has the home proxy roll back a transaction. No result is
+// awaited.
+func (l *link) sendRollback(number uint64) {
 	err := send(l.context, l.conn, rosewire.Message{Order: &rosewire.Order{Do: doRollback, Transaction: &number}})
 	if err != nil {
 		l.cancel()
--- a/pkg/roserelay/codec.go
+++ b/pkg/roserelay/codec.go
@@ -1,6 +1,6 @@
-// Package roserelay has one proxy run the tasks of another's sessions: a
-// group's homes hold the links to its targets, and the other proxies pass
-// statements on to them. The session itself stays where its caller is.
+// Package roserelay forwards tasks between proxies. The home proxies of a group
+// hold the connections to its targets; other proxies forward statements to
+// them. The session stays on the proxy that its client is connected to.
 package roserelay
 
 import (
@@ -17,27 +17,28 @@
 )
 
 const (
-	// beatInterval separates signs of life while something is under way.
-	beatInterval = 400 * time.Millisecond
-	// silenceLimit ends a link on which something is under way and nothing
-	// comes: three beats.
-	silenceLimit = 1200 * time.Millisecond
-	// sendTimeout bounds the sending of one message.
+	// heartbeatInterval is the interval between heartbeats on a busy link.
+	heartbeatInterval = 400 * time.Millisecond
+	// heartbeatTimeout closes a busy link on which nothing was received for
+	// three heartbeat intervals.
+	heartbeatTimeout = 1200 * time.Millisecond
+	// sendTimeout bounds the time to send one message.
 	sendTimeout = 2 * time.Second
-	// maxMessageBytes bounds one message; a caller's is at most half as long.
+	// maxMessageBytes bounds the size of a message; a client's message is at
+	// most half as long.
 	maxMessageBytes = 2 << 20
 )
 
-// What an order asks of a home.
+// Kinds of order to a home proxy, as sent in rosewire.Order.Do.
 const (
-	doRun      = "Run"
-	doBegin    = "Begin"
-	doNext     = "Next"
-	doRollback = "Rollback"
-	doBeat     = "Beat"
+	doRun       = "Run"
+	doBegin     = "Begin"
+	doNext      = "Next"
+	doRollback  = "Rollback"
+	doHeartbeat = "Beat"
 )
 
-// optional returns nil for a zero value, which isn't sent.
+// optional returns nil for a zero value, which is omitted from the message.
 func optional[T comparable](value T) *T {
 	var zero T
 	if value == zero {
@@ -71,7 +72,8 @@
 	}
 }
 
-// encodeTask leaves times as what is left of them: proxies' clocks differ.
+// encodeTask sends deadlines as remaining time, because the clocks of proxies
+// differ.
 func encodeTask(t rosecaller.Task) *rosewire.Task {
 	task := &rosewire.Task{
 		Group:       t.Route.Group,
--- a/pkg/roserelay/relay_test.go
+++ b/pkg/roserelay/relay_test.go
@@ -18,35 +18,36 @@
 	"github.com/rosemarywell/rosemarywell/pkg/roserelay"
 )
 
-// executor is a home's, with transactions that it counts.
+// executor stands in for that of a home proxy. It records tasks and counts
+// transactions.
 type executor struct {
-	work time.Duration
+	latency time.Duration
 
 	mu       sync.Mutex
-	seen     []rosecaller.Task
+	tasks    []rosecaller.Task
 	open     int
 	finished int
 }
 
-func (e *executor) note(task rosecaller.Task) rosecaller.Result {
-	time.Sleep(e.work)
+func (e *executor) record(task rosecaller.Task) rosecaller.Result {
+	time.Sleep(e.latency)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.seen = append(e.seen, task)
+	e.tasks = append(e.tasks, task)
 	return rosecaller.Result{
 		Answer: rosemary.Answer{Rows: []string{"row"}, Digest: "digest"}, MinPosition: rosemary.Position{LogTerm: 2, Offset: 7},
 		Target: "t-1", Primary: true,
 	}
 }
 
-// Run answers with a row.
+// Run returns one row.
 func (e *executor) Run(_ context.Context, task rosecaller.Task) rosecaller.Result {
-	return e.note(task)
+	return e.record(task)
 }
 
 // Begin opens a transaction.
 func (e *executor) Begin(_ context.Context, task rosecaller.Task) (rosecaller.Transaction, rosecaller.Result) {
-	result := e.note(task)
+	result := e.record(task)
 	e.mu.Lock()
 	e.open++
 	e.mu.Unlock()
@@ -54,7 +55,7 @@
 	return &transaction{executor: e}, result
 }
 
-func (e *executor) opened() int {
+func (e *executor) openTransactions() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.open
@@ -62,12 +63,12 @@
 
 type transaction struct {
 	executor *executor
-	over     bool
+	ended    bool
 }
 
-// Next goes on until a commit.
+// Execute keeps the transaction open until a commit.
 func (t *transaction) Execute(_ context.Context, task rosecaller.Task) rosecaller.Result {
-	result := t.executor.note(task)
+	result := t.executor.record(task)
 	if task.Statement.Kind != rosemary.StatementCommit {
 		result.Open, result.Answer.TransactionState = true, rosemary.TransactionOpen
 		return result
@@ -76,25 +77,25 @@
 	return result
 }
 
-// Rollback counts once.
+// Rollback ends the transaction, and counts it once.
 func (t *transaction) Rollback() {
 	t.executor.mu.Lock()
 	defer t.executor.mu.Unlock()
-	if !t.over {
-		t.over = true
+	if !t.ended {
+		t.ended = true
 		t.executor.open--
 		t.executor.finished++
 	}
 }
 
-// between runs a test with a client and a home on a paused clock.
-func between(t *testing.T, work time.Duration, run func(c *qt.C, e *executor, network *rosenet.Network, server *roserelay.Server, client *roserelay.Client)) {
+// runRelay runs a test with a client and a home proxy on a fake clock.
+func runRelay(t *testing.T, latency time.Duration, run func(c *qt.C, e *executor, network *rosenet.Network, server *roserelay.Server, client *roserelay.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		network := rosenet.NewNetwork(rosenet.Config{InMemory: true, Delay: func(_, _ rosenet.Place) time.Duration { return time.Millisecond }})
 		defer network.Close()
-		e := &executor{work: work}
+		e := &executor{latency: latency}
 		server := roserelay.NewServer(roserelay.ServerConfig{Executor: e})
 		listener, err := network.Listen(rosenet.Place{Name: "home", Zone: "b"}, "home:1")
 		c.Assert(err, qt.IsNil)
@@ -108,7 +109,7 @@
 				c.Error(err)
 			}
 		}()
-		client := roserelay.NewClient(roserelay.ClientConfig{Dialer: network.Dialer(rosenet.Place{Name: "visitor", Zone: "a"})})
+		client := roserelay.NewClient(roserelay.ClientConfig{Dialer: network.Dialer(rosenet.Place{Name: "client", Zone: "a"})})
 		run(c, e, network, server, client)
 		client.Close()
 		server.Close()
@@ -132,26 +133,26 @@
 	}
 }
 
-func TestTaskComesWhole(t *testing.T) {
-	between(t, 0, func(c *qt.C, e *executor, _ *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
+func TestTaskRoundTrip(t *testing.T) {
+	runRelay(t, 0, func(c *qt.C, e *executor, _ *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
 		sent := task(rosemary.StatementWrite, "w1")
 		result, delivery := client.Run(context.Background(), home, sent)
 		c.Assert(delivery, qt.Equals, roserelay.Answered)
-		c.Check(result, qt.DeepEquals, e.note(rosecaller.Task{}))
-		got := e.seen[0]
+		c.Check(result, qt.DeepEquals, e.record(rosecaller.Task{}))
+		got := e.tasks[0]
 		c.Check(got.Route, qt.DeepEquals, sent.Route)
 		c.Check(got.Values, qt.DeepEquals, sent.Values)
 		c.Check(got.Prepared, qt.DeepEquals, sent.Prepared)
 		c.Check(got.Statement, qt.DeepEquals, sent.Statement)
 		c.Check(got.MinPosition, qt.Equals, sent.MinPosition)
 		c.Check(got.SessionID&0xffff, qt.Equals, sent.SessionID)
-		// Time on the way is lost, never won.
+		// Transfer may shorten the remaining time, but never extend it.
 		c.Check(got.Deadline.After(sent.Deadline.Add(10*time.Millisecond)), qt.IsFalse)
 	})
 }
 
-func TestHomeOutOfReachIsNotSent(t *testing.T) {
-	between(t, 0, func(c *qt.C, e *executor, network *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
+func TestUnreachableHomeIsNotSent(t *testing.T) {
+	runRelay(t, 0, func(c *qt.C, e *executor, network *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
 		network.SetBlocked(func(_, _ rosenet.Place) bool { return true })
 		_, delivery := client.Run(context.Background(), home, task(rosemary.StatementWrite, "w1"))
 		c.Check(delivery, qt.Equals, roserelay.NotSent)
@@ -159,44 +160,46 @@
 		time.Sleep(time.Second)
 		_, delivery = client.Run(context.Background(), home, task(rosemary.StatementWrite, "w2"))
 		c.Check(delivery, qt.Equals, roserelay.Answered)
-		c.Check(e.seen, qt.HasLen, 1)
+		c.Check(e.tasks, qt.HasLen, 1)
 	})
 }
 
-// A link that goes silent costs a second or so, not the whole deadline.
-func TestSilentLinkIsGivenUp(t *testing.T) {
-	between(t, 10*time.Millisecond, func(c *qt.C, e *executor, network *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
+// A statement on a silent link must fail after about a second, not wait for its
+// whole deadline.
+func TestSilentLinkTimesOut(t *testing.T) {
+	runRelay(t, 10*time.Millisecond, func(c *qt.C, e *executor, network *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
 		open, result, delivery := client.Begin(context.Background(), home, task(rosemary.StatementWrite, "b1"))
 		c.Assert(delivery, qt.Equals, roserelay.Answered)
 		c.Assert(result.Answer.TransactionState, qt.Equals, rosemary.TransactionOpen)
 		network.SetBlocked(func(_, _ rosenet.Place) bool { return true })
 		next := task(rosemary.StatementCommit, "b2")
 		next.Deadline = time.Now().Add(10 * time.Second)
-		asked := time.Now()
+		started := time.Now()
 		result = open.Execute(context.Background(), next)
-		c.Check(time.Since(asked) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(asked)))
+		c.Check(time.Since(started) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(started)))
 		c.Check(result.Refusal.Outcome, qt.Equals, rosemary.OutcomeUnknown)
-		// The home can't be told, and rolls back by itself.
+		// The rollback can't reach the home proxy, which rolls back by itself.
 		time.Sleep(4 * time.Second)
-		c.Check(e.opened(), qt.Equals, 0)
+		c.Check(e.openTransactions(), qt.Equals, 0)
 	})
 }
 
-// A begin that was given up is rolled back when it ends after all.
-func TestForgottenBeginIsRolledBack(t *testing.T) {
-	between(t, time.Second, func(c *qt.C, e *executor, _ *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
+// The client gives up on a begin at its deadline; the transaction must be
+// rolled back when the begin completes later.
+func TestUnansweredBeginIsRolledBack(t *testing.T) {
+	runRelay(t, time.Second, func(c *qt.C, e *executor, _ *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
 		late := task(rosemary.StatementWrite, "b1")
 		late.Deadline = time.Now().Add(100 * time.Millisecond)
 		_, _, delivery := client.Begin(context.Background(), home, late)
 		c.Check(delivery, qt.Equals, roserelay.Unanswered)
 		time.Sleep(2 * time.Second)
-		c.Check(e.opened(), qt.Equals, 0)
+		c.Check(e.openTransactions(), qt.Equals, 0)
 		c.Check(e.finished, qt.Equals, 1)
 	})
 }
 
-func TestDrainEndsWhatIsOpen(t *testing.T) {
-	between(t, 10*time.Millisecond, func(c *qt.C, e *executor, _ *rosenet.Network, server *roserelay.Server, client *roserelay.Client) {
+func TestDrainRollsBackOpenTransactions(t *testing.T) {
+	runRelay(t, 10*time.Millisecond, func(c *qt.C, e *executor, _ *rosenet.Network, server *roserelay.Server, client *roserelay.Client) {
 		open, _, _ := client.Begin(context.Background(), home, task(rosemary.StatementWrite, "b1"))
 		server.SetDrain(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(time.Second), OpenTransactions: time.Now().Add(2 * time.Second)})
 		result, _ := client.Run(context.Background(), home, task(rosemary.StatementWrite, "w1"))
@@ -208,7 +211,7 @@
 		started := time.Now()
 		server.Wait(ctx)
 		c.Check(time.Since(started) > time.Second && time.Since(started) < 3*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(started)))
-		c.Check(e.opened(), qt.Equals, 0)
+		c.Check(e.openTransactions(), qt.Equals, 0)
 		c.Check(open.Execute(context.Background(), task(rosemary.StatementCommit, "b3")).Refusal.Kind, qt.Equals, rosemary.KindAborted)
 	})
 }
--- a/pkg/roserelay/server.go
+++ b/pkg/roserelay/server.go
@@ -16,9 +16,9 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosewire"
 )
 
-// ServerConfig sets up a Server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// Executor runs what other proxies order.
+	// Executor runs the tasks of other proxies.
 	Executor rosecaller.Executor
 }
 
@@ -27,49 +27,51 @@
 	config  ServerConfig
 	context context.Context
 	cancel  context.CancelFunc
-	// owners gives each link's sessions numbers of their own.
-	owners atomic.Uint64
+	// linkCount numbers the links, so that session IDs differ between them.
+	linkCount atomic.Uint64
 
-	mu    sync.Mutex
-	drain rosecaller.DrainDeadlines
-	links map[*served]struct{}
+	mu        sync.Mutex
+	deadlines rosecaller.DrainDeadlines
+	links     map[*serverLink]struct{}
 }
 
-// orphanLimit is how long a transaction stays open without a sign of life of
-// its proxy, as long as a target keeps one whose connection is silent.
-const orphanLimit = 3 * time.Second
-
-// served is one link of another proxy.
-type served struct {
-	server *Server
-	conn   *websocket.Conn
-	owners uint64
-
-	mu           sync.Mutex
-	heardAt      time.Time
-	running      int
-	transactions map[uint64]*transaction
-	// forgotten holds begins whose proxy has given up before they had a
-	// result.
-	forgotten map[uint64]bool
+// orphanTimeout is how long a transaction stays open while nothing is received
+// from its proxy. It is as long as a target keeps a transaction whose
+// connection is silent.
+const orphanTimeout = 3 * time.Second
+
+// serverLink is a link from another proxy.
+type serverLink struct {
+	server        *Server
+	conn          *websocket.Conn
+	sessionIDBase uint64
+
+	mu             sync.Mutex
+	lastReceivedAt time.Time
+	running        int
+	transactions   map[uint64]*transaction
+	// cancelledBegins holds the numbers of begins that the other proxy rolled
+	// back before they had a result.
+	cancelledBegins map[uint64]bool
 }
 
-// transaction is one that a proxy has open here.
+// transaction is opened here by another proxy.
 type transaction struct {
 	rosecaller.Transaction
 	// mu is held while a statement runs.
 	mu sync.Mutex
-	// expired is set once a drain has rolled the transaction back.
-	expired bool
+	// rolledBack is set once abort has rolled the transaction back, for a
+	// drain, for the other proxy, or when the link ended.
+	rolledBack bool
 }
 
-// NewServer returns a server.
+// NewServer returns a server; Close ends its links.
 func NewServer(config ServerConfig) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Server{config: config, context: ctx, cancel: cancel, links: make(map[*served]struct{})}
+	return &Server{config: config, context: ctx, cancel: cancel, links: make(map[*serverLink]struct{})}
 }
 
-// ServeHTTP serves one link until it ends.
+// ServeHTTP accepts a link and serves it until it ends.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := websocket.Accept(w, r, nil)
 	if err != nil {
@@ -77,7 +79,7 @@
 		return
 	}
 	conn.SetReadLimit(maxMessageBytes)
-	l := &served{server: s, conn: conn, owners: s.owners.Add(1) << 32, transactions: make(map[uint64]*transaction), forgotten: make(map[uint64]bool)}
+	l := &serverLink{server: s, conn: conn, sessionIDBase: s.linkCount.Add(1) << 32, transactions: make(map[uint64]*transaction), cancelledBegins: make(map[uint64]bool)}
 	ctx, cancel := context.WithCancel(s.context)
 	defer cancel()
 	s.mu.Lock()
@@ -88,52 +90,55 @@
 		delete(s.links, l)
 		s.mu.Unlock()
 		conn.CloseNow()
-		l.rollBack()
+		l.rollBackAll()
 	}()
-	go l.watch(ctx)
+	go l.watchHeartbeats(ctx)
 	l.serve(ctx)
 }
 
-// SetDrain ends the transactions that other proxies have open here at the
-// drain's time, and refuses new ones from now on.
-func (s *Server) SetDrain(drain rosecaller.DrainDeadlines) {
+// SetDrain refuses tasks outside an open transaction from now on, and rolls
+// back the transactions of other proxies at deadlines.OpenTransactions. While
+// that is zero, neither is done.
+func (s *Server) SetDrain(deadlines rosecaller.DrainDeadlines) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drain = drain
-	if !drain.OpenTransactions.IsZero() {
-		time.AfterFunc(time.Until(drain.OpenTransactions), s.expire)
+	s.deadlines = deadlines
+	if !deadlines.OpenTransactions.IsZero() {
+		time.AfterFunc(time.Until(deadlines.OpenTransactions), s.rollBackAll)
 	}
 }
 
-// expire rolls back what is open, each after the statement that it runs.
-func (s *Server) expire() {
+// rollBackAll rolls back every open transaction, each once its running
+// statement has ended.
+func (s *Server) rollBackAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for l := range s.links {
 		l.mu.Lock()
 		for _, t := range l.transactions {
-			go t.expire()
+			go t.abort()
 		}
 		l.mu.Unlock()
 	}
 }
 
-func (t *transaction) expire() {
+func (t *transaction) abort() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.Rollback()
-	t.expired = true
+	t.rolledBack = true
 }
 
 func (s *Server) draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.drain.OpenTransactions.IsZero()
+	return !s.deadlines.OpenTransactions.IsZero()
 }
 
-// Wait returns once nothing is under way for other proxies, or ctx ends.
+// Wait blocks until no task or transaction of other proxies is left, or until
+// ctx ends.
 func (s *Server) Wait(ctx context.Context) {
-	ticker := time.NewTicker(waitTick)
+	ticker := time.NewTicker(waitPollInterval)
 	defer ticker.Stop()
 	for s.busy() {
 		select {
@@ -144,8 +149,8 @@
 	}
 }
 
-// waitTick separates looks at whether a server is still busy.
-const waitTick = 20 * time.Millisecond
+// waitPollInterval is how often Wait checks whether the server is busy.
+const waitPollInterval = 20 * time.Millisecond
 
 func (s *Server) busy() bool {
 	s.mu.Lock()
@@ -154,7 +159,7 @@
 		l.mu.Lock()
 		busy := l.running > 0
 		for _, t := range l.transactions {
-			busy = busy || !t.over()
+			busy = busy || !t.isRolledBack()
 		}
 		l.mu.Unlock()
 		if busy {
@@ -164,35 +169,36 @@
 	return false
 }
 
-// over reports whether a transaction was rolled back by a drain.
-func (t *transaction) over() bool {
+// isRolledBack reports whether a transaction was rolled back. It reports false
+// while a statement runs, instead of waiting for it.
+func (t *transaction) isRolledBack() bool {
 	if !t.mu.TryLock() {
 		return false
 	}
 	defer t.mu.Unlock()
-	return t.expired
+	return t.rolledBack
 }
 
 // Close ends every link.
 func (s *Server) Close() { s.cancel() }
 
-// serve runs a link's orders as they come.
-func (l *served) serve(ctx context.Context) {
+// serve handles the orders of a link until it ends.
+func (l *serverLink) serve(ctx context.Context) {
 	for {
 		message, err := receive(ctx, l.conn)
 		if err != nil {
 			return
 		}
 		l.mu.Lock()
-		l.heardAt = time.Now()
+		l.lastReceivedAt = time.Now()
 		l.mu.Unlock()
 		order := message.Order
 		switch {
 		case order == nil:
-		case order.Do == doBeat:
-			l.answer(ctx, &rosewire.Result{Number: order.Number})
+		case order.Do == doHeartbeat:
+			l.sendResult(ctx, &rosewire.Result{Number: order.Number})
 		case order.Do == doRollback:
-			l.end(orZero(order.Transaction))
+			l.rollBack(orZero(order.Transaction))
 		case order.Task == nil:
 			klog.InfoS("order of a proxy without a task", "do", order.Do)
 		default:
@@ -204,10 +210,11 @@
 	}
 }
 
-// watch ends a link that has transactions open and no sign of life: its proxy
-// is gone, and targets must not wait for it.
-func (l *served) watch(ctx context.Context) {
-	ticker := time.NewTicker(beatInterval)
+// watchHeartbeats closes a link that has open transactions but receives
+// nothing: its proxy is gone, and its transactions must not hold resources at
+// their targets.
+func (l *serverLink) watchHeartbeats(ctx context.Context) {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -216,33 +223,33 @@
 			return
 		}
 		l.mu.Lock()
-		silent := len(l.transactions) > 0 && time.Since(l.heardAt) > orphanLimit
+		silent := len(l.transactions) > 0 && time.Since(l.lastReceivedAt) > orphanTimeout
 		open := len(l.transactions)
 		l.mu.Unlock()
 		if silent {
-			klog.InfoS("link of a proxy ended", "why", "it is silent", "transactions", open)
+			klog.InfoS("link of a proxy ended", "why", "heartbeat timeout", "transactions", open)
 			l.conn.CloseNow()
 			return
 		}
 	}
 }
 
-func (l *served) answer(ctx context.Context, result *rosewire.Result) {
+func (l *serverLink) sendResult(ctx context.Context, result *rosewire.Result) {
 	if err := send(ctx, l.conn, rosewire.Message{Result: result}); err != nil {
 		klog.V(1).InfoS("result not sent", "number", result.Number, "err", roselog.Err(err))
 	}
 }
 
 // run runs one order and sends its result.
-func (l *served) run(ctx context.Context, order *rosewire.Order, receivedAt time.Time) {
+func (l *serverLink) run(ctx context.Context, order *rosewire.Order, receivedAt time.Time) {
 	task := decodeTask(order.Task, receivedAt)
-	task.SessionID |= l.owners
+	task.SessionID |= l.sessionIDBase
 	var result rosecaller.Result
 	switch {
 	case order.Do == doNext:
-		result = l.next(ctx, orZero(order.Transaction), task)
+		result = l.execute(ctx, orZero(order.Transaction), task)
 	case l.server.draining():
-		result = refused(task, leaving())
+		result = refusalResult(task, drainingRefusal())
 	case order.Do == doBegin:
 		result = l.begin(ctx, order.Number, task)
 	default:
@@ -252,42 +259,43 @@
 		klog.InfoS("task of another proxy refused", "request", task.Statement.ID, "group", task.Route.Group, "do", order.Do,
 			"kind", result.Refusal.Kind, "outcome", result.Refusal.Outcome, "target", result.Target, "message", result.Refusal.Message)
 	}
-	l.answer(ctx, encodeResult(order.Number, result))
+	l.sendResult(ctx, encodeResult(order.Number, result))
 	l.mu.Lock()
 	l.running--
 	l.mu.Unlock()
 }
 
-func (l *served) begin(ctx context.Context, number uint64, task rosecaller.Task) rosecaller.Result {
-	open, result := l.server.config.Executor.Begin(ctx, task)
-	if open == nil {
+func (l *serverLink) begin(ctx context.Context, number uint64, task rosecaller.Task) rosecaller.Result {
+	begun, result := l.server.config.Executor.Begin(ctx, task)
+	if begun == nil {
 		return result
 	}
 	l.mu.Lock()
-	l.transactions[number] = &transaction{Transaction: open}
-	forgotten := l.forgotten[number]
+	l.transactions[number] = &transaction{Transaction: begun}
+	cancelled := l.cancelledBegins[number]
 	l.mu.Unlock()
 	if ctx.Err() != nil {
-		// The link ended meanwhile, and may have been cleared already.
-		l.rollBack()
+		// The link has ended, and its other transactions may already have been
+		// rolled back.
+		l.rollBackAll()
 	}
-	if forgotten {
-		l.end(number)
+	if cancelled {
+		l.rollBack(number)
 	}
 	return result
 }
 
-func (l *served) next(ctx context.Context, number uint64, task rosecaller.Task) rosecaller.Result {
+func (l *serverLink) execute(ctx context.Context, number uint64, task rosecaller.Task) rosecaller.Result {
 	l.mu.Lock()
 	t := l.transactions[number]
 	l.mu.Unlock()
 	if t == nil {
-		return ended(task)
+		return rolledBackResult(task)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.expired {
-		return ended(task)
+	if t.rolledBack {
+		return rolledBackResult(task)
 	}
 	result := t.Execute(ctx, task)
 	if !result.Open {
@@ -298,41 +306,43 @@
 	return result
 }
 
-// end rolls one transaction back.
-func (l *served) end(number uint64) {
+// rollBack rolls back one transaction. If it has not begun yet, its begin is
+// cancelled.
+func (l *serverLink) rollBack(number uint64) {
 	l.mu.Lock()
 	t := l.transactions[number]
 	delete(l.transactions, number)
 	if t == nil {
-		l.forgotten[number] = true
+		l.cancelledBegins[number] = true
 	} else {
-		delete(l.forgotten, number)
+		delete(l.cancelledBegins, number)
 	}
 	l.mu.Unlock()
 	if t != nil {
-		go t.expire()
+		go t.abort()
 	}
 }
 
-// rollBack rolls back all that the link has open.
-func (l *served) rollBack() {
+// rollBackAll rolls back all transactions of the link.
+func (l *serverLink) rollBackAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for number, t := range l.transactions {
 		delete(l.transactions, number)
-		go t.expire()
+		go t.abort()
 	}
 }
 
-func refused(task rosecaller.Task, refusal *rosemary.Refusal) rosecaller.Result {
+func refusalResult(task rosecaller.Task, refusal *rosemary.Refusal) rosecaller.Result {
 	return rosecaller.Result{Refusal: refusal, MinPosition: task.MinPosition, MinPositionUnknown: task.MinPositionUnknown}
 }
 
-// ended answers a statement of a transaction that was rolled back here.
-func ended(task rosecaller.Task) rosecaller.Result {
-	result := refused(task, &rosemary.Refusal{
+// rolledBackResult is the result of a statement whose transaction was rolled
+// back here.
+func rolledBackResult(task rosecaller.Task) rosecaller.Result {
+	result := refusalResult(task, &rosemary.Refusal{
 		Kind: rosemary.KindAborted, Outcome: rosemary.OutcomeNotRun,
-		Message: "the proxy that held the transaction rolled it back to shut down", Remedy: "run the transaction again", RetryAfter: time.Millisecond,
+		Message: "the transaction was rolled back because the proxy that ran it is shutting down", Remedy: "run the transaction again", RetryAfter: time.Millisecond,
 	})
 	if task.Statement.Kind != rosemary.StatementCommit {
 		result.Answer.TransactionState = rosemary.TransactionFailed
@@ -340,9 +350,9 @@
 	return result
 }
 
-func leaving() *rosemary.Refusal {
+func drainingRefusal() *rosemary.Refusal {
 	return &rosemary.Refusal{
 		Kind: rosemary.KindDraining, Outcome: rosemary.OutcomeNotRun,
-		Message: "the group's home shuts down", Remedy: "retry", RetryAfter: time.Millisecond,
+		Message: "the home proxy of the group is shutting down", Remedy: "retry", RetryAfter: time.Millisecond,
 	}
 }
