--- a/pkg/rosesession/token.go
+++ b/pkg/rosesession/token.go
@@ -1,6 +1,6 @@
-// Package rosesession keeps what a session must be able to read: its floor,
-// the greatest position of its own writes, and the signed token that carries
-// the floor to another proxy.
+// Package rosesession implements read-your-writes for client sessions: it
+// tracks the greatest log position of a session's own writes, which its reads
+// must reach, and the signed token that carries it to another proxy.
 package rosesession
 
 import (
@@ -17,48 +17,51 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// minKeyBytes is the shortest signing key accepted.
+// minKeyBytes is the minimum length of a signing key.
 const minKeyBytes = 16
 
-// Session is what a proxy knows of a caller's session.
+// Session is the read-your-writes state of a client session.
 type Session struct {
 	// Name identifies the session across proxies.
 	Name     string
 	Tenant   string
 	Database string
-	// Floor is the position that reads must have reached.
+	// MinPosition is the log position that a target must have reached to serve
+	// the session's reads.
 	MinPosition rosemary.Position
-	// FloorUnknown is set until the floor of a named session was sampled.
+	// MinPositionUnknown is set until MinPosition has been sampled: after a
+	// write of unknown outcome, and in a session known by its name only.
 	MinPositionUnknown bool
 }
 
-// NewSession returns a session with a random name and no writes yet.
+// NewSession returns a session with a random name and no writes.
 func NewSession(tenant, database string) Session {
 	name := make([]byte, 12)
 	_, _ = rand.Read(name)
 	return Session{Name: hex.EncodeToString(name), Tenant: tenant, Database: database}
 }
 
-// WithMinPosition returns a copy whose floor is at least floor.
-func (s Session) WithMinPosition(floor rosemary.Position) Session {
-	s.MinPosition = s.MinPosition.Max(floor)
+// WithMinPosition returns a copy whose MinPosition is at least position.
+func (s Session) WithMinPosition(position rosemary.Position) Session {
+	s.MinPosition = s.MinPosition.Max(position)
 	return s
 }
 
-// WithSampledMinPosition returns a copy whose floor is known and at least floor.
-func (s Session) WithSampledMinPosition(floor rosemary.Position) Session {
+// WithSampledMinPosition returns a copy whose MinPosition is known and at least
+// position.
+func (s Session) WithSampledMinPosition(position rosemary.Position) Session {
 	s.MinPositionUnknown = false
-	return s.WithMinPosition(floor)
+	return s.WithMinPosition(position)
 }
 
-// WithUnknownMinPosition returns a copy whose floor has to be sampled: a write of
-// unknown outcome left no position.
+// WithUnknownMinPosition returns a copy whose MinPosition has to be sampled,
+// because the position of a write of unknown outcome is not known.
 func (s Session) WithUnknownMinPosition() Session {
 	s.MinPositionUnknown = true
 	return s
 }
 
-// WithName returns the session of that name, whose floor isn't known.
+// WithName returns the session of that name, with MinPosition unknown.
 func (s Session) WithName(name string) Session {
 	s.Name = name
 	s.MinPosition = rosemary.Position{}
@@ -66,14 +69,14 @@
 	return s
 }
 
-// Keys sign and verify tokens. The first key signs; all verify, so that keys
-// can be replaced while tokens are out.
+// Keys sign and verify tokens. The first key signs and all verify, so that keys
+// can be rotated while issued tokens are in use.
 type Keys struct {
 	keys [][]byte
 }
 
-// NewKeys returns the keys in the order given. It fails with
-// trace.BadParameter when there is none or one is too short.
+// NewKeys returns the keys in the given order. It fails with
+// trace.BadParameter if there is no key or one is too short.
 func NewKeys(keys ...[]byte) (*Keys, error) {
 	if len(keys) == 0 {
 		return nil, trace.BadParameter("no token key: set TokenKeys to at least one secret shared by all proxies")
@@ -93,7 +96,7 @@
 	Database string
 	LogTerm  uint64
 	Offset   uint64
-	// Unknown is set when a write of unknown outcome has no position.
+	// Unknown is the session's MinPositionUnknown.
 	Unknown bool
 }
 
@@ -116,18 +119,18 @@
 // Verify returns the session that a token carries. The error is a
 // *rosemary.Refusal of kind bad-token.
 func (k *Keys) Verify(token, tenant, database string) (Session, error) {
-	first, second, found := strings.Cut(token, ".")
-	body, errBody := decode(first)
-	signature, errSignature := decode(second)
+	encodedBody, encodedSignature, found := strings.Cut(token, ".")
+	body, errBody := decode(encodedBody)
+	signature, errSignature := decode(encodedSignature)
 	if !found || errBody != nil || errSignature != nil {
-		return Session{}, badToken("it is not a token of this system")
+		return Session{}, badToken("malformed token")
 	}
-	if !k.verified(body, signature) {
-		return Session{}, badToken("its signature is of no known key")
+	if !k.hasSigned(body, signature) {
+		return Session{}, badToken("the signature matches none of the token keys")
 	}
 	var p payload
 	if err := cbor.Unmarshal(body, &p); err != nil {
-		return Session{}, badToken("it can't be decoded")
+		return Session{}, badToken("the signed payload can't be decoded")
 	}
 	if p.Tenant != tenant || p.Database != database {
 		return Session{}, badToken("it belongs to another tenant or database")
@@ -141,7 +144,7 @@
 	}, nil
 }
 
-func (k *Keys) verified(body, signature []byte) bool {
+func (k *Keys) hasSigned(body, signature []byte) bool {
 	for _, key := range k.keys {
 		if hmac.Equal(sign(key, body), signature) {
 			return true
@@ -165,6 +168,6 @@
 		Kind:    rosemary.KindBadToken,
 		Outcome: rosemary.OutcomeNotRun,
 		Message: "the session token was refused: " + message,
-		Remedy:  "pass the newest rosemary.token unchanged, or rosemary.session alone",
+		Remedy:  "set rosemary.token to the latest token unchanged, or set only rosemary.session",
 	}
 }
--- a/pkg/rosesession/token_test.go
+++ b/pkg/rosesession/token_test.go
@@ -13,23 +13,23 @@
 	c := qt.New(t)
 	old, err := rosesession.NewKeys([]byte("the key of last year"))
 	c.Assert(err, qt.IsNil)
-	both, err := rosesession.NewKeys([]byte("the key of this year"), []byte("the key of last year"))
+	rotating, err := rosesession.NewKeys([]byte("the key of this year"), []byte("the key of last year"))
 	c.Assert(err, qt.IsNil)
-	fresh, err := rosesession.NewKeys([]byte("the key of this year"))
+	rotated, err := rosesession.NewKeys([]byte("the key of this year"))
 	c.Assert(err, qt.IsNil)
 	session := rosesession.NewSession("clerk", "db").WithMinPosition(rosemary.Position{LogTerm: 3, Offset: 41}).WithUnknownMinPosition()
 	token := old.Sign(session)
 
-	opened, err := both.Verify(token, "clerk", "db")
+	verified, err := rotating.Verify(token, "clerk", "db")
 	c.Assert(err, qt.IsNil)
-	c.Check(opened, qt.DeepEquals, session)
+	c.Check(verified, qt.DeepEquals, session)
 	for name, attempt := range map[string]func() error{
-		"retired key":      func() error { _, err := fresh.Verify(token, "clerk", "db"); return err },
-		"other tenant":     func() error { _, err := both.Verify(token, "runner", "db"); return err },
-		"other database":   func() error { _, err := both.Verify(token, "clerk", "other"); return err },
-		"changed":          func() error { _, err := both.Verify("A"+token[1:], "clerk", "db"); return err },
-		"without a dot":    func() error { _, err := both.Verify("token", "clerk", "db"); return err },
-		"cut off":          func() error { _, err := both.Verify(token[:len(token)-2], "clerk", "db"); return err },
+		"retired key":      func() error { _, err := rotated.Verify(token, "clerk", "db"); return err },
+		"other tenant":     func() error { _, err := rotating.Verify(token, "runner", "db"); return err },
+		"other database":   func() error { _, err := rotating.Verify(token, "clerk", "other"); return err },
+		"changed":          func() error { _, err := rotating.Verify("A"+token[1:], "clerk", "db"); return err },
+		"without a dot":    func() error { _, err := rotating.Verify("token", "clerk", "db"); return err },
+		"cut off":          func() error { _, err := rotating.Verify(token[:len(token)-2], "clerk", "db"); return err },
 		"of a short key":   func() error { _, err := rosesession.NewKeys([]byte("short")); return err },
 		"of no key at all": func() error { _, err := rosesession.NewKeys(); return err },
 	} {
--- a/pkg/rosestatement/kind.go
+++ b/pkg/rosestatement/kind.go
@@ -2,12 +2,12 @@
 
 import "strings"
 
-// Kind tells how the proxy treats a statement.
+// Kind determines how the proxy handles a statement.
 type Kind int
 
 // Kinds of statements.
 const (
-	// KindPlain is passed on as it is.
+	// KindPlain is forwarded unchanged.
 	KindPlain Kind = iota
 	// KindBegin opens a transaction block.
 	KindBegin
@@ -21,15 +21,15 @@
 	KindSessionSet
 	// KindReset resets a setting, or all.
 	KindReset
-	// KindDiscard forgets the session's state.
+	// KindDiscard discards the session's state.
 	KindDiscard
-	// KindDeallocate forgets a statement prepared by the protocol.
+	// KindDeallocate drops a statement that was prepared through the protocol.
 	KindDeallocate
-	// KindUnsupported needs a connection of its own.
+	// KindUnsupported needs a dedicated connection to the target.
 	KindUnsupported
 )
 
-// ProxyPrefix begins the names of the proxy's own settings.
+// ProxyPrefix is the prefix of the proxy's own settings.
 const ProxyPrefix = "rosemary."
 
 // Kind classifies the statement by its leading keywords.
@@ -43,7 +43,7 @@
 		}
 		return KindEnd
 	case "set":
-		return s.setKind()
+		return s.classifySet()
 	case "show":
 		if strings.HasPrefix(s.Word(1), ProxyPrefix) {
 			return KindProxyShow
@@ -64,7 +64,7 @@
 	return KindPlain
 }
 
-func (s Statement) setKind() Kind {
+func (s Statement) classifySet() Kind {
 	switch name := s.Word(1); {
 	case name == "local" || name == "transaction" || name == "constraints":
 		return KindPlain
@@ -74,7 +74,7 @@
 	return KindSessionSet
 }
 
-// Setting returns the name that a SET, SHOW or RESET is about.
+// Setting returns the name of the setting in a SET, SHOW or RESET.
 func (s Statement) Setting() string {
 	if s.Word(1) == "session" || s.Word(1) == "local" {
 		return s.Word(2)
--- a/pkg/rosestatement/scan.go
+++ b/pkg/rosestatement/scan.go
@@ -1,6 +1,5 @@
-// Package rosestatement looks at the leading keywords and the comments of SQL
-// text. It is no parser: it finds where statements begin and what sqlcommenter
-// tags they carry, and nothing else about them.
+// Package rosestatement scans SQL text for statement boundaries, leading
+// keywords and sqlcommenter tags. It is not a parser and finds nothing else.
 package rosestatement
 
 import (
@@ -8,8 +7,8 @@
 	"strings"
 )
 
-// leadingWords is the number of keywords kept of each statement.
-const leadingWords = 4
+// maxWords is the number of leading words kept of each statement.
+const maxWords = 4
 
 // Script is the text of one query message.
 type Script struct {
@@ -19,9 +18,9 @@
 
 // Statement is one statement of a script.
 type Statement struct {
-	// Words are the first keywords, in lower case.
+	// Words are the leading words, in lower case unless quoted.
 	Words []string
-	// Value is the text after "=" or TO, for SET.
+	// Value is the first token after "=" or TO in a SET.
 	Value string
 }
 
@@ -33,7 +32,7 @@
 	RequestID string
 }
 
-// Word returns keyword i, or an empty string.
+// Word returns the leading word at index i, or an empty string.
 func (s Statement) Word(i int) string {
 	if i < len(s.Words) {
 		return s.Words[i]
@@ -50,90 +49,91 @@
 
 type scanner struct {
 	text    string
-	at      int
+	offset  int
 	script  Script
 	current Statement
-	value   bool
+	inValue bool
 	depth   int
 }
 
 func (s *scanner) run() {
-	for s.at < len(s.text) {
+	for s.offset < len(s.text) {
 		s.step()
 	}
-	s.finish()
+	s.endStatement()
 }
 
 func (s *scanner) step() {
-	rest := s.text[s.at:]
+	rest := s.text[s.offset:]
 	c := rest[0]
 	switch {
 	case strings.HasPrefix(rest, "--"):
-		s.at += lengthTo(rest, "\n")
+		s.offset += lengthThrough(rest, "\n")
 	case strings.HasPrefix(rest, "/*"):
 		size := commentLength(rest)
-		s.tags(rest[2:max(2, size-2)])
-		s.at += size
+		s.parseTags(rest[2:max(2, size-2)])
+		s.offset += size
 	case c == '\'':
-		s.token(strings.ReplaceAll(s.quoted('\''), "''", "'"))
+		s.addToken(strings.ReplaceAll(s.readQuoted('\''), "''", "'"))
 	case c == '"':
-		s.token(s.quoted('"'))
+		s.addToken(s.readQuoted('"'))
 	case c == '$':
-		s.at += dollarLength(rest)
-		s.current.Words = s.pad()
+		s.offset += dollarLength(rest)
+		s.current.Words = s.wordsWithPlaceholder()
 	case c == ';':
-		s.at++
-		s.finish()
+		s.offset++
+		s.endStatement()
 	case c == '=':
-		s.at++
-		s.value = true
-	case isWord(c):
+		s.offset++
+		s.inValue = true
+	case isWordByte(c):
 		end := 0
-		for end < len(rest) && isWord(rest[end]) {
+		for end < len(rest) && isWordByte(rest[end]) {
 			end++
 		}
-		s.at += end
-		s.token(strings.ToLower(rest[:end]))
+		s.offset += end
+		s.addToken(strings.ToLower(rest[:end]))
 	default:
-		s.at++
+		s.offset++
 		if c > ' ' && c != '(' && len(s.current.Words) == 0 {
 			s.current.Words = append(s.current.Words, string(c))
 		}
 	}
 }
 
-// pad keeps a statement that begins with a dollar quote from being empty.
-func (s *scanner) pad() []string {
+// wordsWithPlaceholder keeps a statement that begins with a dollar quote from
+// being dropped as empty.
+func (s *scanner) wordsWithPlaceholder() []string {
 	if len(s.current.Words) == 0 {
 		return []string{"$"}
 	}
 	return s.current.Words
 }
 
-func (s *scanner) token(word string) {
-	if s.value && s.current.Value == "" {
-		s.current.Value = word
+func (s *scanner) addToken(text string) {
+	if s.inValue && s.current.Value == "" {
+		s.current.Value = text
 		return
 	}
-	if len(s.current.Words) < leadingWords {
-		s.current.Words = append(s.current.Words, word)
+	if len(s.current.Words) < maxWords {
+		s.current.Words = append(s.current.Words, text)
 	}
-	if word == "to" && len(s.current.Words) > 2 {
-		s.value = true
+	if text == "to" && len(s.current.Words) > 2 {
+		s.inValue = true
 	}
 }
 
-func (s *scanner) finish() {
+func (s *scanner) endStatement() {
 	if len(s.current.Words) > 0 {
 		s.script.Statements = append(s.script.Statements, s.current)
 	}
 	s.current = Statement{}
-	s.value = false
+	s.inValue = false
 }
 
-// quoted takes a quoted token and returns its text between the quotes.
-func (s *scanner) quoted(quote byte) string {
-	rest := s.text[s.at:]
+// readQuoted consumes a quoted token and returns the text between its quotes.
+func (s *scanner) readQuoted(quote byte) string {
+	rest := s.text[s.offset:]
 	for i := 1; i < len(rest); i++ {
 		if rest[i] != quote {
 			continue
@@ -142,14 +142,14 @@
 			i++
 			continue
 		}
-		s.at += i + 1
+		s.offset += i + 1
 		return rest[1:i]
 	}
-	s.at = len(s.text)
+	s.offset = len(s.text)
 	return rest[1:]
 }
 
-func (s *scanner) tags(comment string) {
+func (s *scanner) parseTags(comment string) {
 	for pair := range strings.SplitSeq(comment, ",") {
 		key, raw, found := strings.Cut(strings.TrimSpace(pair), "=")
 		raw = strings.TrimSpace(raw)
@@ -169,19 +169,19 @@
 	}
 }
 
-func isWord(c byte) bool {
+func isWordByte(c byte) bool {
 	return c == '_' || c == '.' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
 }
 
-func lengthTo(text, end string) int {
-	at := strings.Index(text, end)
-	if at < 0 {
+func lengthThrough(text, end string) int {
+	i := strings.Index(text, end)
+	if i < 0 {
 		return len(text)
 	}
-	return at + len(end)
+	return i + len(end)
 }
 
-// commentLength returns the length of a comment, which may nest.
+// commentLength returns the length of a block comment, including nested ones.
 func commentLength(text string) int {
 	depth := 0
 	for i := 0; i+1 < len(text); i++ {
@@ -200,10 +200,11 @@
 	return len(text)
 }
 
-// dollarLength returns the length of a dollar-quoted string or a parameter.
+// dollarLength returns the length of a dollar-quoted string or a positional
+// parameter.
 func dollarLength(text string) int {
 	end := 1
-	for end < len(text) && isWord(text[end]) {
+	for end < len(text) && isWordByte(text[end]) {
 		end++
 	}
 	if end >= len(text) || text[end] != '$' {
