--- a/pkg/rosepeer/homes_test.go
+++ b/pkg/rosepeer/homes_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosepeer"
 )
 
-func weightedFleet(size int, weight func(i int) int) []rosemary.Member {
+func weightedMembers(size int, weight func(i int) int) []rosemary.Member {
 	var members []rosemary.Member
 	for i := range size {
 		members = append(members, rosemary.Member{
@@ -21,7 +21,7 @@
 }
 
 func TestWeightedHomesPerZone(t *testing.T) {
-	members := weightedFleet(30, func(int) int { return 1 })
+	members := weightedMembers(30, func(int) int { return 1 })
 	homes := rosepeer.WeightedHomes("db", members, 2)
 	qt.Check(t, homes, qt.HasLen, 6)
 	zones := make(map[rosemary.Zone]int)
@@ -32,17 +32,17 @@
 }
 
 func TestWeightedHomesMoveLittle(t *testing.T) {
-	members := weightedFleet(30, func(int) int { return 1 })
+	members := weightedMembers(30, func(int) int { return 1 })
 	before := rosepeer.WeightedHomes("db", members, 2)
-	gone := before[0].Proxy
-	var rest []rosemary.Member
+	removed := before[0].Proxy
+	var remaining []rosemary.Member
 	for _, m := range members {
-		if m.Proxy != gone {
-			rest = append(rest, m)
+		if m.Proxy != removed {
+			remaining = append(remaining, m)
 		}
 	}
 	kept := make(map[rosemary.ProxyID]bool)
-	for _, m := range rosepeer.WeightedHomes("db", rest, 2) {
+	for _, m := range rosepeer.WeightedHomes("db", remaining, 2) {
 		kept[m.Proxy] = true
 	}
 	for _, m := range before[1:] {
@@ -50,9 +50,9 @@
 	}
 }
 
-// Larger proxies are homes more often, about in proportion to their weight.
+// Proxies are chosen as homes roughly in proportion to their weight.
 func TestWeightedHomesFollowWeight(t *testing.T) {
-	members := weightedFleet(30, func(i int) int {
+	members := weightedMembers(30, func(i int) int {
 		if i < 3 {
 			return 4
 		}
@@ -68,6 +68,6 @@
 		}
 	}
 	share := float64(large) / float64(all)
-	// One of weight 4 beside nine of weight 1 in each zone.
-	qt.Check(t, share > 0.26 && share < 0.36, qt.IsTrue, qt.Commentf("%.3f of 4/13", share))
+	// Each zone has one member of weight 4 and nine of weight 1.
+	qt.Check(t, share > 0.26 && share < 0.36, qt.IsTrue, qt.Commentf("share of the heavy proxies %.3f, expected about 4/13", share))
 }
--- a/pkg/rosepeer/link.go
+++ b/pkg/rosepeer/link.go
@@ -12,28 +12,28 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosewire"
 )
 
-// link is one open connection to a peer.
+// link is an open connection to a peer.
 type link struct {
-	id     rosemary.ProxyID
+	peer   rosemary.ProxyID
 	conn   *websocket.Conn
 	queue  chan []byte
 	cancel context.CancelFunc
 }
 
 func (m *Mesh) dial(ctx context.Context, member rosemary.Member) {
-	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, _, err := websocket.Dial(dialing, m.scheme+member.Address+"/peer", &websocket.DialOptions{HTTPClient: m.client})
+	conn, _, err := websocket.Dial(dialCtx, m.scheme+member.Address+"/peer", &websocket.DialOptions{HTTPClient: m.client})
 	if err != nil {
 		return
 	}
-	m.carry(ctx, conn, member.Proxy)
+	m.runLink(ctx, conn, member.Proxy)
 }
 
 func (m *Mesh) servePeer(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-m.done:
-		http.Error(w, "this proxy has shut down", http.StatusServiceUnavailable)
+		http.Error(w, "proxy is shut down", http.StatusServiceUnavailable)
 		return
 	default:
 	}
@@ -41,20 +41,21 @@
 	if err != nil {
 		return
 	}
-	m.carry(r.Context(), conn, certifiedName(r))
+	m.runLink(r.Context(), conn, certificateName(r))
 }
 
-// certifiedName returns the peer's name by its certificate, if it has one.
-func certifiedName(r *http.Request) rosemary.ProxyID {
+// certificateName returns the common name of the peer's certificate, empty
+// without one.
+func certificateName(r *http.Request) rosemary.ProxyID {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return ""
 	}
 	return rosemary.ProxyID(r.TLS.PeerCertificates[0].Subject.CommonName)
 }
 
-// carry exchanges messages over conn until it ends. A name given must be the
-// peer's.
-func (m *Mesh) carry(ctx context.Context, conn *websocket.Conn, name rosemary.ProxyID) {
+// runLink exchanges messages over conn until it ends. If expected is set, the
+// peer must report that name.
+func (m *Mesh) runLink(ctx context.Context, conn *websocket.Conn, expected rosemary.ProxyID) {
 	conn.SetReadLimit(maxMessageBytes)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -69,57 +70,57 @@
 	m.mu.Lock()
 	hello := m.node.Hello()
 	m.mu.Unlock()
-	if write(ctx, conn, hello) != nil {
+	if writeMessage(ctx, conn, hello) != nil {
 		return
 	}
-	first, err := read(ctx, conn)
-	if err != nil || first.Hello == nil || name != "" && first.Hello.Proxy != string(name) {
+	first, err := readMessage(ctx, conn)
+	if err != nil || first.Hello == nil || expected != "" && first.Hello.Proxy != string(expected) {
 		return
 	}
-	l := &link{id: rosemary.ProxyID(first.Hello.Proxy), conn: conn, queue: make(chan []byte, queueMessages), cancel: cancel}
-	if !m.attach(l) {
+	l := &link{peer: rosemary.ProxyID(first.Hello.Proxy), conn: conn, queue: make(chan []byte, sendQueueLength), cancel: cancel}
+	if !m.addLink(l) {
 		return
 	}
-	defer m.detach(l)
-	m.tasks.Go(func() { l.write(ctx) })
-	m.receive(l.id, first)
+	defer m.removeLink(l)
+	m.tasks.Go(func() { l.writeLoop(ctx) })
+	m.receive(l.peer, first)
 	m.mu.Lock()
-	m.send(Envelope{l.id, m.node.FullState()})
+	m.send(Envelope{l.peer, m.node.FullState()})
 	m.mu.Unlock()
 	for {
-		message, err := read(ctx, conn)
+		message, err := readMessage(ctx, conn)
 		if err != nil {
 			return
 		}
-		m.receive(l.id, message)
+		m.receive(l.peer, message)
 	}
 }
 
-// attach makes l the link to its peer, in place of an older one.
-func (m *Mesh) attach(l *link) bool {
+// addLink registers l as the link to its peer, replacing an older one.
+func (m *Mesh) addLink(l *link) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
 		return false
 	}
-	m.links[l.id] = l
+	m.links[l.peer] = l
 	return true
 }
 
-func (m *Mesh) detach(l *link) {
+func (m *Mesh) removeLink(l *link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.links[l.id] == l {
-		delete(m.links, l.id)
+	if m.links[l.peer] == l {
+		delete(m.links, l.peer)
 	}
 }
 
-func (l *link) write(ctx context.Context) {
+func (l *link) writeLoop(ctx context.Context) {
 	for {
 		select {
 		case body := <-l.queue:
-			sending, cancel := context.WithTimeout(ctx, sendTimeout)
-			err := l.conn.Write(sending, websocket.MessageBinary, body)
+			writeCtx, cancel := context.WithTimeout(ctx, sendTimeout)
+			err := l.conn.Write(writeCtx, websocket.MessageBinary, body)
 			cancel()
 			if err != nil {
 				l.cancel()
@@ -131,7 +132,7 @@
 	}
 }
 
-func write(ctx context.Context, conn *websocket.Conn, message rosewire.Message) error {
+func writeMessage(ctx context.Context, conn *websocket.Conn, message rosewire.Message) error {
 	body, err := cbor.Marshal(message)
 	if err != nil {
 		return trace.Wrap(err)
@@ -141,9 +142,9 @@
 	return conn.Write(ctx, websocket.MessageBinary, body)
 }
 
-func read(ctx context.Context, conn *websocket.Conn) (rosewire.Message, error) {
+func readMessage(ctx context.Context, conn *websocket.Conn) (rosewire.Message, error) {
 	var message rosewire.Message
-	ctx, cancel := context.WithTimeout(ctx, linkSilence)
+	ctx, cancel := context.WithTimeout(ctx, linkIdleTimeout)
 	defer cancel()
 	_, body, err := conn.Read(ctx)
 	if err != nil {
--- a/pkg/rosepeer/mesh.go
+++ b/pkg/rosepeer/mesh.go
@@ -16,73 +16,78 @@
 )
 
 const (
-	defaultTick = 25 * time.Millisecond
-	// redialPause separates attempts to connect to one neighbour.
-	redialPause = 250 * time.Millisecond
-	dialTimeout = time.Second
-	sendTimeout = 2 * time.Second
-	// linkSilence ends a link that carried nothing for this long.
-	linkSilence = 15 * time.Second
-	// queueMessages bounds the messages that wait for one link; a link that
-	// falls further behind is closed and opened again.
-	queueMessages = 512
-	// maxMessageBytes bounds one message.
+	defaultTickInterval = 25 * time.Millisecond
+	// redialInterval separates connection attempts to one neighbour.
+	redialInterval = 250 * time.Millisecond
+	dialTimeout    = time.Second
+	sendTimeout    = 2 * time.Second
+	// linkIdleTimeout closes a link on which nothing was received for this
+	// long.
+	linkIdleTimeout = 15 * time.Second
+	// sendQueueLength is the number of messages that may wait on one link; a
+	// link that falls further behind is closed and reopened.
+	sendQueueLength = 512
+	// maxMessageBytes is the largest message accepted from a peer.
 	maxMessageBytes = 2 << 20
 )
 
-// Config sets up a Mesh.
+// Config configures a Mesh.
 type Config struct {
 	Node   NodeConfig
 	Dialer rosemary.Dialer
-	// TLS authenticates both ends; nil trusts the network.
+	// TLS authenticates both ends; nil disables it.
 	TLS *tls.Config
-	// OnEvent is told of changes. It must not block.
+	// OnEvent receives changes. It must not block.
 	OnEvent func(Event)
-	// OnCancel is told of a cancel request that a peer could not place.
+	// OnCancel receives a cancel request whose session the sending peer did not
+	// find.
 	OnCancel func(pid, secret uint32)
-	// Provide returns the part of the bundle with that digest, or the
-	// manifest in force for an empty one.
+	// BundlePart returns the bundle part with that digest, or the manifest in
+	// force for an empty digest.
 	BundlePart func(digest string) (string, bool)
-	// OnAsk answers a peer's ask for connections.
+	// OnConnectionRequest answers a peer's request for connections.
 	OnConnectionRequest func(from rosemary.ProxyID, ask rosewire.Ask) rosewire.Grant
-	// OnGrant is told of a peer's grant.
+	// OnConnectionGrant receives a peer's grant of connections.
 	OnConnectionGrant func(rosewire.Grant)
-	// OnQuestion answers a peer's question, and may take its time; nil
-	// answers none.
+	// OnQuestion answers a peer's question, and may block; nil leaves questions
+	// unanswered.
 	OnQuestion func(from rosemary.ProxyID, question rosewire.Question) rosewire.Reply
-	// Tick separates looks at what is due; zero means defaultTick.
+	// TickInterval is the time between calls to Node.Tick; zero means
+	// defaultTickInterval.
 	TickInterval time.Duration
-	// MayTunnel reports whether a peer may reach that address through here.
+	// AllowTunnel reports whether peers may tunnel to that address through this
+	// proxy.
 	AllowTunnel func(address string) bool
 }
 
-// Mesh carries a node's messages. Its methods may be called concurrently.
+// Mesh exchanges a node's messages with its peers. Its methods may be called
+// concurrently.
 type Mesh struct {
 	config Config
 	client *http.Client
 	scheme string
 	tasks  sync.WaitGroup
-	// done closes once the mesh is over, for links that peers opened.
+	// done is closed when Run ends, to stop links that peers opened.
 	done chan struct{}
 
-	mu      sync.Mutex
-	node    *Node
-	links   map[rosemary.ProxyID]*link
-	dialing map[rosemary.ProxyID]time.Time
-	pulls   map[pullKey][]chan string
-	surveys map[uint64]chan<- PeerReply
-	asked   uint64
-	closed  bool
-	sent    Traffic
+	mu        sync.Mutex
+	node      *Node
+	links     map[rosemary.ProxyID]*link
+	dialedAt  map[rosemary.ProxyID]time.Time
+	fetches   map[fetchKey][]chan string
+	queries   map[uint64]chan<- PeerReply
+	lastQuery uint64
+	closed    bool
+	sent      Traffic
 }
 
-// Traffic counts what was sent to peers.
+// Traffic counts messages and bytes sent to peers.
 type Traffic struct {
 	Messages uint64
 	Bytes    uint64
 }
 
-type pullKey struct {
+type fetchKey struct {
 	from   rosemary.ProxyID
 	digest string
 }
@@ -90,7 +95,7 @@
 // NewMesh returns a mesh; Run starts it and Handler serves peers.
 func NewMesh(config Config) *Mesh {
 	if config.TickInterval <= 0 {
-		config.TickInterval = defaultTick
+		config.TickInterval = defaultTickInterval
 	}
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -100,15 +105,15 @@
 		DisableKeepAlives: true,
 	}
 	m := &Mesh{
-		config:  config,
-		client:  &http.Client{Transport: transport},
-		scheme:  "ws://",
-		done:    make(chan struct{}),
-		node:    NewNode(config.Node),
-		links:   make(map[rosemary.ProxyID]*link),
-		dialing: make(map[rosemary.ProxyID]time.Time),
-		pulls:   make(map[pullKey][]chan string),
-		surveys: make(map[uint64]chan<- PeerReply),
+		config:   config,
+		client:   &http.Client{Transport: transport},
+		scheme:   "ws://",
+		done:     make(chan struct{}),
+		node:     NewNode(config.Node),
+		links:    make(map[rosemary.ProxyID]*link),
+		dialedAt: make(map[rosemary.ProxyID]time.Time),
+		fetches:  make(map[fetchKey][]chan string),
+		queries:  make(map[uint64]chan<- PeerReply),
 	}
 	if config.TLS != nil {
 		m.scheme = "wss://"
@@ -116,7 +121,7 @@
 	return m
 }
 
-// Handler serves peers.
+// Handler serves peers' links and tunnels.
 func (m *Mesh) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /peer", m.servePeer)
@@ -124,7 +129,7 @@
 	return mux
 }
 
-// Run keeps links to the neighbours until ctx ends.
+// Run maintains links to the neighbours until ctx ends.
 func (m *Mesh) Run(ctx context.Context) {
 	ticker := time.NewTicker(m.config.TickInterval)
 	defer ticker.Stop()
@@ -149,22 +154,23 @@
 
 func (m *Mesh) tick(ctx context.Context) {
 	now := time.Now()
-	m.do(func(n *Node) ([]Envelope, []Event) { return n.Tick(now) })
+	m.runStep(func(n *Node) ([]Envelope, []Event) { return n.Tick(now) })
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, id := range m.node.Neighbours() {
-		if m.links[id] != nil || now.Sub(m.dialing[id]) < redialPause+dialTimeout {
+		if m.links[id] != nil || now.Sub(m.dialedAt[id]) < redialInterval+dialTimeout {
 			continue
 		}
-		m.dialing[id] = now
+		m.dialedAt[id] = now
 		if member, found := m.node.Find(id); found {
 			m.tasks.Go(func() { m.dial(ctx, member) })
 		}
 	}
 }
 
-// do runs a step of the node, sends what it decided and tells the events.
-func (m *Mesh) do(step func(*Node) ([]Envelope, []Event)) {
+// runStep runs a step of the node, sends the resulting messages and reports the
+// events.
+func (m *Mesh) runStep(step func(*Node) ([]Envelope, []Event)) {
 	m.mu.Lock()
 	envelopes, events := step(m.node)
 	for _, e := range envelopes {
@@ -176,7 +182,8 @@
 	}
 }
 
-// send puts a message in the queue of its link. The lock is held.
+// send queues a message on the link to its peer, dropping it if there is no
+// link. A link whose queue is full is closed. m.mu must be held.
 func (m *Mesh) send(e Envelope) {
 	l := m.links[e.To]
 	if l == nil {
@@ -203,19 +210,19 @@
 		body, _ := m.config.BundlePart(message.Pull.Digest)
 		m.sendTo(from, rosewire.Message{Content: &rosewire.Content{Digest: message.Pull.Digest, Body: body}})
 	case message.Content != nil:
-		m.deliver(from, *message.Content)
+		m.completeFetch(from, *message.Content)
 	case message.Ask != nil:
 		grant := m.config.OnConnectionRequest(from, *message.Ask)
 		m.sendTo(from, rosewire.Message{Grant: &grant})
 	case message.Grant != nil:
 		m.config.OnConnectionGrant(*message.Grant)
 	case message.Question != nil:
-		m.answer(from, *message.Question)
+		m.answerQuestion(from, *message.Question)
 	case message.Reply != nil:
-		m.replied(from, *message.Reply)
+		m.deliverReply(from, *message.Reply)
 	default:
 		now := time.Now()
-		m.do(func(n *Node) ([]Envelope, []Event) { return n.Receive(now, from, message) })
+		m.runStep(func(n *Node) ([]Envelope, []Event) { return n.Receive(now, from, message) })
 	}
 }
 
@@ -225,49 +232,50 @@
 	m.send(Envelope{to, message})
 }
 
-// RequestConnections asks a peer for connections to a target; the answer comes by OnGrant.
+// RequestConnections asks a peer for connections to a target;
+// Config.OnConnectionGrant receives the answer.
 func (m *Mesh) RequestConnections(to rosemary.ProxyID, ask rosewire.Ask) {
 	m.sendTo(to, rosewire.Message{Ask: &ask})
 }
 
-func (m *Mesh) deliver(from rosemary.ProxyID, content rosewire.Content) {
-	key := pullKey{from, content.Digest}
+func (m *Mesh) completeFetch(from rosemary.ProxyID, content rosewire.Content) {
+	key := fetchKey{from, content.Digest}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, waiting := range m.pulls[key] {
-		waiting <- content.Body
+	for _, waiter := range m.fetches[key] {
+		waiter <- content.Body
 	}
-	delete(m.pulls, key)
+	delete(m.fetches, key)
 }
 
-// FetchPart asks a peer for a part of its bundle. Errors are trace.NotFound when it
-// lacks the part, and trace.ConnectionProblem.
+// FetchPart fetches a part of a peer's bundle. Errors are trace.NotFound when
+// the peer lacks the part, and trace.ConnectionProblem.
 func (m *Mesh) FetchPart(ctx context.Context, from rosemary.ProxyID, digest string) (string, error) {
-	answer := make(chan string, 1)
-	key := pullKey{from, digest}
+	result := make(chan string, 1)
+	key := fetchKey{from, digest}
 	m.mu.Lock()
 	if m.links[from] == nil {
 		m.mu.Unlock()
-		return "", trace.ConnectionProblem(nil, "no link to %s", from)
+		return "", trace.ConnectionProblem(nil, "no link to peer %s", from)
 	}
-	m.pulls[key] = append(m.pulls[key], answer)
+	m.fetches[key] = append(m.fetches[key], result)
 	m.send(Envelope{from, rosewire.Message{Pull: &rosewire.Pull{Digest: digest}}})
 	m.mu.Unlock()
 	select {
-	case body := <-answer:
+	case body := <-result:
 		if body == "" {
-			return "", trace.NotFound("%s has no part %q", from, digest)
+			return "", trace.NotFound("peer %s has no bundle part %q", from, digest)
 		}
 		return body, nil
 	case <-ctx.Done():
 		m.mu.Lock()
-		delete(m.pulls, key)
+		delete(m.fetches, key)
 		m.mu.Unlock()
-		return "", trace.ConnectionProblem(ctx.Err(), "pull from %s", from)
+		return "", trace.ConnectionProblem(ctx.Err(), "peer %s did not answer the request for a bundle part", from)
 	}
 }
 
-// ForwardCancel passes a cancel request to every linked peer.
+// ForwardCancel sends a cancel request to every linked peer.
 func (m *Mesh) ForwardCancel(pid, secret uint32) {
 	message := rosewire.Message{Cancel: &rosewire.Cancel{ProcessID: uint64(pid), Secret: uint64(secret)}}
 	m.mu.Lock()
@@ -277,49 +285,49 @@
 	}
 }
 
-// AnnouncePrimary passes on a change of a primary.
-func (m *Mesh) AnnouncePrimary(lead rosewire.Lead) {
-	m.change(func(n *Node) { n.AnnouncePrimary(lead) })
+// AnnouncePrimary tells the peers of a new primary.
+func (m *Mesh) AnnouncePrimary(primary rosewire.Lead) {
+	m.update(func(n *Node) { n.AnnouncePrimary(primary) })
 }
 
-// SetBundleVersion records the version of the bundle in force here.
+// SetBundleVersion records the version of the bundle in force at this proxy.
 func (m *Mesh) SetBundleVersion(version uint64) {
-	m.change(func(n *Node) { n.SetBundleVersion(version) })
+	m.update(func(n *Node) { n.SetBundleVersion(version) })
 }
 
-// Leave tells the peers that this proxy shuts down.
+// Leave tells the peers that this proxy is shutting down.
 func (m *Mesh) Leave() {
-	m.change(func(n *Node) { n.Leave() })
+	m.update(func(n *Node) { n.Leave() })
 }
 
-// AddMembers takes in members from settings or the platform's list.
+// AddMembers adds members from the settings or the platform's VM list.
 func (m *Mesh) AddMembers(members []rosemary.Member) {
-	m.change(func(n *Node) { n.AddMembers(time.Now(), members) })
+	m.update(func(n *Node) { n.AddMembers(time.Now(), members) })
 }
 
-// change changes the node and sends what follows from it at once.
-func (m *Mesh) change(step func(*Node)) {
-	m.do(func(n *Node) ([]Envelope, []Event) {
+// update changes the node and sends the resulting messages at once.
+func (m *Mesh) update(step func(*Node)) {
+	m.runStep(func(n *Node) ([]Envelope, []Event) {
 		step(n)
 		return n.flush(), nil
 	})
 }
 
-// LiveMembers returns the members that take part, this one included.
+// LiveMembers returns the alive and suspected members, including this one.
 func (m *Mesh) LiveMembers() []rosemary.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.node.LiveMembers()
 }
 
-// View lists what is known of every other member.
+// View returns what is known of every other member.
 func (m *Mesh) View() []MemberView {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.node.View()
 }
 
-// LinkedPeers lists the peers that this proxy has a link to.
+// LinkedPeers returns the peers that this proxy has a link to.
 func (m *Mesh) LinkedPeers() []rosemary.ProxyID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -330,7 +338,7 @@
 	return ids
 }
 
-// SentTraffic returns what was sent to peers so far.
+// SentTraffic returns the traffic sent to peers so far.
 func (m *Mesh) SentTraffic() Traffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/rosepeer/neighbours.go
+++ b/pkg/rosepeer/neighbours.go
@@ -9,20 +9,20 @@
 )
 
 var (
-	// zoneSteps are the distances to neighbours on the ring of a zone.
-	zoneSteps = []int{1, 3, 9, 27}
-	// crossSteps are the distances to neighbours on the ring of zones.
-	crossSteps = []int{1, 4}
+	// zoneOffsets are the distances to neighbours on the ring of a zone.
+	zoneOffsets = []int{1, 3, 9, 27}
+	// crossZoneOffsets are the distances to neighbours on the ring of zones.
+	crossZoneOffsets = []int{1, 4}
 )
 
-// Neighbours returns the proxies that this one sends to and watches. Up to a
-// size these are all; beyond it, a bounded number within the zone and in
-// other zones, the same seen from both ends.
+// Neighbours returns the proxies that this one sends to and monitors: all
+// members up to FullMeshSize, beyond it a bounded number in the same zone and
+// in other zones. The relation is symmetric.
 func (n *Node) Neighbours() []rosemary.ProxyID {
-	if !n.stale {
+	if !n.neighboursStale {
 		return n.neighbours
 	}
-	n.stale = false
+	n.neighboursStale = false
 	var members []rosemary.Member
 	for _, p := range n.peers {
 		if p.state <= StateSuspect {
@@ -30,38 +30,39 @@
 		}
 	}
 	members = append(members, n.config.Self)
-	before := n.neighbours
+	former := n.neighbours
 	if n.config.SelectNeighbours != nil && len(members) > n.config.FullMeshSize {
 		n.neighbours = n.config.SelectNeighbours(n.config.Self, members)
 	} else {
-		n.neighbours = neighboursOf(n.config.Self, members, n.config.FullMeshSize)
+		n.neighbours = selectNeighbours(n.config.Self, members, n.config.FullMeshSize)
 	}
-	n.unwatch(before)
+	n.resetFormerNeighbours(former)
 	return n.neighbours
 }
 
-// unwatch forgets since when former neighbours were watched: one that becomes
-// a neighbour again has not been heard meanwhile.
-func (n *Node) unwatch(before []rosemary.ProxyID) {
-	for _, id := range before {
+// resetFormerNeighbours clears neighbourSince of former neighbours: one that is
+// chosen again has not been heard from in between, and would be suspected at
+// once.
+func (n *Node) resetFormerNeighbours(former []rosemary.ProxyID) {
+	for _, id := range former {
 		if _, kept := slices.BinarySearch(n.neighbours, id); kept {
 			continue
 		}
 		if p := n.peers[id]; p != nil {
-			p.watchedAt = time.Time{}
+			p.neighbourSince = time.Time{}
 		}
 	}
 }
 
-// neighboursOf chooses self's neighbours among members, self included.
-func neighboursOf(self rosemary.Member, members []rosemary.Member, meshSize int) []rosemary.ProxyID {
+// selectNeighbours chooses self's neighbours among members, which include self.
+func selectNeighbours(self rosemary.Member, members []rosemary.Member, fullMeshSize int) []rosemary.ProxyID {
 	chosen := make(map[rosemary.ProxyID]bool)
-	if len(members) <= meshSize {
+	if len(members) <= fullMeshSize {
 		for _, m := range members {
 			chosen[m.Proxy] = true
 		}
 	} else {
-		chooseRings(chosen, self, members)
+		addRingNeighbours(chosen, self, members)
 	}
 	delete(chosen, self.Proxy)
 	list := make([]rosemary.ProxyID, 0, len(chosen))
@@ -72,51 +73,51 @@
 	return list
 }
 
-func chooseRings(chosen map[rosemary.ProxyID]bool, self rosemary.Member, members []rosemary.Member) {
-	rings := ringsOf(members)
-	own := rings[self.Zone]
-	at := slices.Index(own, self.Proxy)
-	for _, step := range zoneSteps {
-		chosen[own[(at+step)%len(own)]] = true
-		chosen[own[(at-step%len(own)+len(own))%len(own)]] = true
+func addRingNeighbours(chosen map[rosemary.ProxyID]bool, self rosemary.Member, members []rosemary.Member) {
+	rings := zoneRings(members)
+	ownRing := rings[self.Zone]
+	index := slices.Index(ownRing, self.Proxy)
+	for _, offset := range zoneOffsets {
+		chosen[ownRing[(index+offset)%len(ownRing)]] = true
+		chosen[ownRing[(index-offset%len(ownRing)+len(ownRing))%len(ownRing)]] = true
 	}
 	zones := make([]rosemary.Zone, 0, len(rings))
 	for z := range rings {
 		zones = append(zones, z)
 	}
 	slices.Sort(zones)
-	place := slices.Index(zones, self.Zone)
-	for _, step := range crossSteps {
-		ahead := rings[zones[(place+step)%len(zones)]]
-		chosen[ahead[at*len(ahead)/len(own)]] = true
-		behind := rings[zones[(place-step%len(zones)+len(zones))%len(zones)]]
-		for i, id := range behind {
-			if i*len(own)/len(behind) == at {
+	zoneIndex := slices.Index(zones, self.Zone)
+	for _, offset := range crossZoneOffsets {
+		next := rings[zones[(zoneIndex+offset)%len(zones)]]
+		chosen[next[index*len(next)/len(ownRing)]] = true
+		previous := rings[zones[(zoneIndex-offset%len(zones)+len(zones))%len(zones)]]
+		for i, id := range previous {
+			if i*len(ownRing)/len(previous) == index {
 				chosen[id] = true
 			}
 		}
 	}
 }
 
-// ringPlace is a member and its place on a ring.
-type ringPlace struct {
+// ringMember is a member with its sort key on a ring.
+type ringMember struct {
 	score uint64
 	zone  rosemary.Zone
 	proxy rosemary.ProxyID
 }
 
-// ringsOf returns the members of each zone in the order of their hashes.
-func ringsOf(members []rosemary.Member) map[rosemary.Zone][]rosemary.ProxyID {
-	places := make([]ringPlace, len(members))
+// zoneRings returns the members of each zone ordered by their hashes.
+func zoneRings(members []rosemary.Member) map[rosemary.Zone][]rosemary.ProxyID {
+	ordered := make([]ringMember, len(members))
 	for i, m := range members {
-		places[i] = ringPlace{score("ring", m.Proxy), m.Zone, m.Proxy}
+		ordered[i] = ringMember{score("ring", m.Proxy), m.Zone, m.Proxy}
 	}
-	slices.SortFunc(places, func(a, b ringPlace) int {
+	slices.SortFunc(ordered, func(a, b ringMember) int {
 		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.proxy, b.proxy))
 	})
 	rings := make(map[rosemary.Zone][]rosemary.ProxyID)
-	for _, p := range places {
-		rings[p.zone] = append(rings[p.zone], p.proxy)
+	for _, m := range ordered {
+		rings[m.zone] = append(rings[m.zone], m.proxy)
 	}
 	return rings
 }
--- a/pkg/rosepeer/node.go
+++ b/pkg/rosepeer/node.go
@@ -9,125 +9,128 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosewire"
 )
 
-// State is what is known of a member's life. At one incarnation a higher
-// state overrides a lower one.
+// State is the state of a member. At the same incarnation a higher state
+// overrides a lower one.
 type State uint8
 
 // States of a member.
 const (
 	// StateAlive members take part.
 	StateAlive State = iota
-	// StateSuspect members were not heard; they may refute it.
+	// StateSuspect members missed heartbeats; they may refute the suspicion.
 	StateSuspect
-	// StateLeaving members have said that they shut down.
+	// StateLeaving members have announced their shutdown.
 	StateLeaving
-	// StateDead members were suspected without an answer.
+	// StateDead members did not refute a suspicion in time.
 	StateDead
 )
 
-// NodeConfig sets up a Node.
+// NodeConfig configures a Node.
 type NodeConfig struct {
 	Self rosemary.Member
-	// Incarnation grows with each start of the proxy.
+	// Incarnation increases with each start of the proxy.
 	Incarnation uint64
-	// Heartbeat separates heartbeats to one neighbour.
+	// HeartbeatInterval is the time between heartbeats to one neighbour.
 	HeartbeatInterval time.Duration
-	// MeshSize is the number of members up to which all are neighbours.
+	// FullMeshSize is the number of members up to which all are neighbours.
 	FullMeshSize int
-	// Select replaces the choice of neighbours beyond MeshSize; both ends
-	// must choose each other. Nil takes rings.
+	// SelectNeighbours replaces the choice of neighbours beyond FullMeshSize;
+	// the choice must be symmetric. Nil selects by rings.
 	SelectNeighbours func(self rosemary.Member, members []rosemary.Member) []rosemary.ProxyID
 }
 
 const (
-	defaultHeartbeat = 200 * time.Millisecond
-	defaultMeshSize  = 8
-	// suspectBeats is the number of missed heartbeats that raise suspicion.
-	suspectBeats = 4
-	// refuteBeats is the number of heartbeats that a suspect has to refute.
-	refuteBeats = 3
-	// forgetAfter is how long a dead member is remembered, so that old news
-	// doesn't bring it back.
-	forgetAfter = 10 * time.Minute
-	// meshHeartbeatSize is the number of members above which heartbeats are
-	// sent more seldom.
-	meshHeartbeatSize = 64
-	// largeFactor is how much more seldom.
-	largeFactor = 5
+	defaultHeartbeatInterval = 200 * time.Millisecond
+	defaultFullMeshSize      = 8
+	// suspectHeartbeats is the number of missed heartbeats after which a member
+	// is suspected.
+	suspectHeartbeats = 4
+	// refuteHeartbeats is the number of heartbeat intervals that a suspect has
+	// to refute the suspicion.
+	refuteHeartbeats = 3
+	// deadRetention is how long a dead member is remembered, so that outdated
+	// updates do not bring it back.
+	deadRetention = 10 * time.Minute
+	// largeSize is the number of members above which heartbeats are sent less
+	// often.
+	largeSize = 64
+	// largeHeartbeatFactor multiplies the heartbeat interval above largeSize.
+	largeHeartbeatFactor = 5
 )
 
-// peer is what a node knows of another.
+// peer is what a node knows of another member.
 type peer struct {
 	member      rosemary.Member
 	incarnation uint64
 	state       State
-	// proven is set once the member was heard, by anyone.
-	proven  bool
-	heardAt time.Time
-	// watchedAt is since when the peer is a neighbour; zero if it isn't.
-	watchedAt time.Time
-	changedAt time.Time
-	version   uint64
+	// confirmed is set once the member or another peer has reported it, and not
+	// only settings or the VM list.
+	confirmed bool
+	seenAt    time.Time
+	// neighbourSince is zero while the peer is not a neighbour.
+	neighbourSince time.Time
+	changedAt      time.Time
+	bundleVersion  uint64
 }
 
-// Envelope is a message on its way to one proxy.
+// Envelope is a message addressed to one proxy.
 type Envelope struct {
 	To      rosemary.ProxyID
 	Message rosewire.Message
 }
 
-// Event is something that others of the process act on.
+// Event reports a change to the rest of the process.
 type Event struct {
 	// Member and State are set when a member's state changed.
 	Member rosemary.Member
 	State  State
-	// Lead is set when a primary changed.
+	// Primary is set when a database's primary changed.
 	Primary *rosewire.Lead
-	// Version and From are set when a newer bundle is known.
+	// BundleVersion and From are set when a peer reports a newer bundle.
 	BundleVersion uint64
 	From          rosemary.ProxyID
 }
 
-// Node is the membership as one proxy sees it. It isn't safe for concurrent
-// use, and it keeps time only by the times that it is given.
+// Node is one proxy's view of the membership. It isn't safe for concurrent use,
+// and takes the time only from its callers.
 type Node struct {
 	config      NodeConfig
 	incarnation uint64
 	peers       map[rosemary.ProxyID]*peer
-	// unsettled names the peers that aren't alive, so that a tick doesn't
-	// look at all.
-	unsettled  map[rosemary.ProxyID]struct{}
-	leads      map[string]rosewire.Lead
-	neighbours []rosemary.ProxyID
-	stale      bool
-	version    uint64
-	newest     uint64
-	beatAt     time.Time
-	draining   bool
-	news       rosewire.News
-	newsFrom   rosemary.ProxyID
+	// notAlive holds the peers in other states than alive, so that a tick does
+	// not scan all peers.
+	notAlive        map[rosemary.ProxyID]struct{}
+	primaries       map[string]rosewire.Lead
+	neighbours      []rosemary.ProxyID
+	neighboursStale bool
+	bundleVersion   uint64
+	newestVersion   uint64
+	heartbeatAt     time.Time
+	draining        bool
+	pending         rosewire.News
+	pendingFrom     rosemary.ProxyID
 }
 
 // NewNode returns a node that knows only itself.
 func NewNode(config NodeConfig) *Node {
 	if config.HeartbeatInterval == 0 {
-		config.HeartbeatInterval = defaultHeartbeat
+		config.HeartbeatInterval = defaultHeartbeatInterval
 	}
 	if config.FullMeshSize == 0 {
-		config.FullMeshSize = defaultMeshSize
+		config.FullMeshSize = defaultFullMeshSize
 	}
 	return &Node{
-		config:      config,
-		incarnation: max(config.Incarnation, 1),
-		peers:       make(map[rosemary.ProxyID]*peer),
-		unsettled:   make(map[rosemary.ProxyID]struct{}),
-		leads:       make(map[string]rosewire.Lead),
-		stale:       true,
+		config:          config,
+		incarnation:     max(config.Incarnation, 1),
+		peers:           make(map[rosemary.ProxyID]*peer),
+		notAlive:        make(map[rosemary.ProxyID]struct{}),
+		primaries:       make(map[string]rosewire.Lead),
+		neighboursStale: true,
 	}
 }
 
-// AddMembers takes in members from settings or the platform's list. They are
-// contacted, but count as live only once they were heard.
+// AddMembers adds members from the settings or the platform's VM list. They are
+// contacted, but count as live only once they or a peer report them.
 func (n *Node) AddMembers(now time.Time, members []rosemary.Member) {
 	for _, m := range members {
 		if m.Proxy == n.config.Self.Proxy || m.Leaving {
@@ -136,20 +139,20 @@
 		known := n.peers[m.Proxy]
 		switch {
 		case known == nil:
-			n.peers[m.Proxy] = &peer{member: m, changedAt: now, heardAt: now}
-			n.stale = true
-		case !known.proven && known.member != m:
+			n.peers[m.Proxy] = &peer{member: m, changedAt: now, seenAt: now}
+			n.neighboursStale = true
+		case !known.confirmed && known.member != m:
 			known.member = m
-			n.stale = true
+			n.neighboursStale = true
 		}
 	}
 }
 
-// LiveMembers returns the members that take part, this one included.
+// LiveMembers returns the alive and suspected members, including this one.
 func (n *Node) LiveMembers() []rosemary.Member {
 	live := []rosemary.Member{n.config.Self}
 	for _, p := range n.peers {
-		if p.proven && p.state <= StateSuspect {
+		if p.confirmed && p.state <= StateSuspect {
 			live = append(live, p.member)
 		}
 	}
@@ -166,7 +169,7 @@
 	return p.member, true
 }
 
-// MemberView is a member as operators see it.
+// MemberView is a member as shown to operators.
 type MemberView struct {
 	rosemary.Member
 	State         string
@@ -177,46 +180,47 @@
 
 var stateNames = []string{"alive", "suspect", "leaving", "dead"}
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string { return stateNames[s] }
 
-// View lists what is known of every other member.
+// View returns what is known of every other member.
 func (n *Node) View() []MemberView {
 	var views []MemberView
 	for _, p := range n.peers {
-		views = append(views, MemberView{p.member, stateNames[p.state], p.proven, p.version, p.heardAt})
+		views = append(views, MemberView{p.member, stateNames[p.state], p.confirmed, p.bundleVersion, p.seenAt})
 	}
 	slices.SortFunc(views, func(a, b MemberView) int { return cmp.Compare(a.Proxy, b.Proxy) })
 	return views
 }
 
-// SetBundleVersion records the version of the bundle in force here.
+// SetBundleVersion records the version of the bundle in force at this proxy.
 func (n *Node) SetBundleVersion(version uint64) {
-	n.version = max(n.version, version)
-	if version > n.newest {
-		n.newest = version
-		n.news.BundleVersion = &version
-		n.newsFrom = n.config.Self.Proxy
+	n.bundleVersion = max(n.bundleVersion, version)
+	if version > n.newestVersion {
+		n.newestVersion = version
+		n.pending.BundleVersion = &version
+		n.pendingFrom = n.config.Self.Proxy
 	}
 }
 
-// BundleVersions returns the version in force here, and the newest heard of.
-func (n *Node) BundleVersions() (uint64, uint64) { return n.version, n.newest }
+// BundleVersions returns the version in force at this proxy, and the newest one
+// known.
+func (n *Node) BundleVersions() (uint64, uint64) { return n.bundleVersion, n.newestVersion }
 
-// AnnouncePrimary passes on a change of a primary.
-func (n *Node) AnnouncePrimary(lead rosewire.Lead) {
-	if n.takeLead(lead) {
-		n.news.Leads = append(n.news.Leads, lead)
+// AnnouncePrimary tells the neighbours of a new primary.
+func (n *Node) AnnouncePrimary(primary rosewire.Lead) {
+	if n.recordPrimary(primary) {
+		n.pending.Leads = append(n.pending.Leads, primary)
 	}
 }
 
-// Leave tells everyone that this proxy shuts down.
+// Leave tells the neighbours that this proxy is shutting down.
 func (n *Node) Leave() {
 	n.draining = true
-	n.news.Members = append(n.news.Members, n.selfNews(StateLeaving))
+	n.pending.Members = append(n.pending.Members, n.selfRecord(StateLeaving))
 }
 
-func (n *Node) selfNews(state State) rosewire.Member {
+func (n *Node) selfRecord(state State) rosewire.Member {
 	self := n.config.Self
 	return rosewire.Member{
 		Proxy:       string(self.Proxy),
@@ -238,81 +242,81 @@
 	}}
 }
 
-// Tick does what is due at now.
+// Tick updates timed-out members and returns the messages due at now.
 func (n *Node) Tick(now time.Time) ([]Envelope, []Event) {
-	events := n.watch(now)
+	events := n.checkTimeouts(now)
 	envelopes := n.flush()
-	if now.Sub(n.beatAt) < n.interval() {
+	if now.Sub(n.heartbeatAt) < n.heartbeatInterval() {
 		return envelopes, events
 	}
-	n.beatAt = now
-	beat := rosewire.Message{Heartbeat: &rosewire.Heartbeat{
+	n.heartbeatAt = now
+	heartbeat := rosewire.Message{Heartbeat: &rosewire.Heartbeat{
 		Incarnation:   n.incarnation,
-		BundleVersion: n.version,
+		BundleVersion: n.bundleVersion,
 		Draining:      n.draining,
 	}}
 	for _, id := range n.Neighbours() {
-		envelopes = append(envelopes, Envelope{id, beat})
+		envelopes = append(envelopes, Envelope{id, heartbeat})
 	}
 	return envelopes, events
 }
 
-// interval is the time between heartbeats: a large membership beats more
-// seldom, as each proxy then watches over few.
-func (n *Node) interval() time.Duration {
-	if len(n.peers) > meshHeartbeatSize {
-		return largeFactor * n.config.HeartbeatInterval
+// heartbeatInterval is longer for a large membership, in which each proxy has
+// few neighbours to monitor.
+func (n *Node) heartbeatInterval() time.Duration {
+	if len(n.peers) > largeSize {
+		return largeHeartbeatFactor * n.config.HeartbeatInterval
 	}
 	return n.config.HeartbeatInterval
 }
 
-// watch raises suspicion against neighbours that went silent, gives up on
-// suspects, and forgets the dead.
-func (n *Node) watch(now time.Time) []Event {
+// checkTimeouts suspects silent neighbours, declares suspects dead that did not
+// refute in time, and removes members that left or died long ago.
+func (n *Node) checkTimeouts(now time.Time) []Event {
 	var events []Event
-	limit := suspectBeats * n.interval()
+	timeout := suspectHeartbeats * n.heartbeatInterval()
 	for _, id := range n.Neighbours() {
 		p := n.peers[id]
 		if p == nil {
 			continue
 		}
-		if p.watchedAt.IsZero() {
-			p.watchedAt = now
+		if p.neighbourSince.IsZero() {
+			p.neighbourSince = now
 		}
-		silent := min(now.Sub(p.heardAt), now.Sub(p.watchedAt))
-		if p.proven && p.state == StateAlive && silent > limit {
-			events = append(events, n.change(now, p, StateSuspect))
+		silence := min(now.Sub(p.seenAt), now.Sub(p.neighbourSince))
+		if p.confirmed && p.state == StateAlive && silence > timeout {
+			events = append(events, n.setState(now, p, StateSuspect))
 		}
 	}
-	for id := range n.unsettled {
+	for id := range n.notAlive {
 		p := n.peers[id]
 		switch {
-		case p.state == StateSuspect && now.Sub(p.changedAt) > refuteBeats*n.interval():
-			events = append(events, n.change(now, p, StateDead))
-		case p.state >= StateLeaving && now.Sub(p.changedAt) > forgetAfter:
+		case p.state == StateSuspect && now.Sub(p.changedAt) > refuteHeartbeats*n.heartbeatInterval():
+			events = append(events, n.setState(now, p, StateDead))
+		case p.state >= StateLeaving && now.Sub(p.changedAt) > deadRetention:
 			delete(n.peers, id)
-			delete(n.unsettled, id)
-			n.stale = true
+			delete(n.notAlive, id)
+			n.neighboursStale = true
 		}
 	}
 	return events
 }
 
-// change sets a member's state and makes news of it.
-func (n *Node) change(now time.Time, p *peer, state State) Event {
+// setState changes a member's state and queues an update about it.
+func (n *Node) setState(now time.Time, p *peer, state State) Event {
 	p.state = state
 	p.changedAt = now
 	if state == StateAlive {
-		delete(n.unsettled, p.member.Proxy)
+		delete(n.notAlive, p.member.Proxy)
 	} else {
-		n.unsettled[p.member.Proxy] = struct{}{}
+		n.notAlive[p.member.Proxy] = struct{}{}
 	}
-	n.stale = true
-	n.news.Members = append(n.news.Members, p.news())
+	n.neighboursStale = true
+	n.pending.Members = append(n.pending.Members, p.record())
 	return Event{Member: p.member, State: state}
 }
 
-func (p *peer) news() rosewire.Member {
+func (p *peer) record() rosewire.Member {
 	return rosewire.Member{
 		Proxy:       string(p.member.Proxy),
 		Zone:        string(p.member.Zone),
@@ -322,15 +326,16 @@
 	}
 }
 
-// flush sends the news that gathered to every neighbour but its source.
+// flush returns the pending updates for every neighbour except the one they
+// came from.
 func (n *Node) flush() []Envelope {
-	if len(n.news.Members) == 0 && len(n.news.Leads) == 0 && n.news.BundleVersion == nil {
+	if len(n.pending.Members) == 0 && len(n.pending.Leads) == 0 && n.pending.BundleVersion == nil {
 		return nil
 	}
-	news := n.news
-	source := n.newsFrom
-	n.news = rosewire.News{}
-	n.newsFrom = ""
+	news := n.pending
+	source := n.pendingFrom
+	n.pending = rosewire.News{}
+	n.pendingFrom = ""
 	var envelopes []Envelope
 	for _, id := range n.Neighbours() {
 		if id != source {
--- a/pkg/rosepeer/rank.go
+++ b/pkg/rosepeer/rank.go
@@ -1,6 +1,6 @@
-// Package rosepeer holds the membership between proxies. Node decides, without
-// sockets or goroutines, whom to watch and what to pass on; Mesh carries its
-// messages over WebSocket.
+// Package rosepeer implements the membership of proxies. Node decides, without
+// sockets or goroutines, which members to monitor and what to pass on; Mesh
+// exchanges its messages over WebSocket.
 package rosepeer
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// score is the rendezvous weight of a proxy for a key.
+// score is the rendezvous hash of a proxy for a key.
 func score(key string, id rosemary.ProxyID) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(key))
@@ -20,7 +20,7 @@
 	return mix(hash.Sum64())
 }
 
-// mix spreads the bits of a hash, whose high bits differ little for short
+// mix is a hash finalizer: the high bits of FNV-1a differ little for short
 // keys.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
@@ -30,8 +30,8 @@
 	return x ^ x>>33
 }
 
-// RendezvousOrder returns members in the rendezvous order of key. A member that comes
-// or goes moves no other.
+// RendezvousOrder returns members in descending rendezvous score for key.
+// Adding or removing a member does not reorder the others.
 func RendezvousOrder(key string, members []rosemary.Member) []rosemary.Member {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b rosemary.Member) int {
@@ -40,8 +40,8 @@
 	return ranked
 }
 
-// RendezvousRank returns the place of id in the rendezvous order of key, or the number
-// of members when it isn't among them.
+// RendezvousRank returns the index of id in the rendezvous order of key, or the
+// number of members if id is not among them.
 func RendezvousRank(key string, members []rosemary.Member, id rosemary.ProxyID) int {
 	own, rank, found := score(key, id), 0, false
 	for _, m := range members {
--- a/pkg/rosepeer/receive.go
+++ b/pkg/rosepeer/receive.go
@@ -7,7 +7,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosewire"
 )
 
-// Receive takes in a message of a peer.
+// Receive handles a message from a peer.
 func (n *Node) Receive(now time.Time, from rosemary.ProxyID, message rosewire.Message) ([]Envelope, []Event) {
 	var events []Event
 	switch {
@@ -16,28 +16,28 @@
 	case message.Heartbeat != nil:
 		events = n.receiveHeartbeat(now, from, *message.Heartbeat)
 	case message.News != nil:
-		n.newsFrom = from
+		n.pendingFrom = from
 		events = n.receiveNews(now, from, *message.News)
 	}
 	return n.flush(), events
 }
 
-// FullState returns all that a proxy with a new connection should know.
+// FullState returns the full state to send on a new connection.
 func (n *Node) FullState() rosewire.Message {
-	news := rosewire.News{BundleVersion: &n.newest}
+	news := rosewire.News{BundleVersion: &n.newestVersion}
 	for _, p := range n.peers {
-		if p.proven && p.state < StateDead {
-			news.Members = append(news.Members, p.news())
+		if p.confirmed && p.state < StateDead {
+			news.Members = append(news.Members, p.record())
 		}
 	}
-	for _, l := range n.leads {
-		news.Leads = append(news.Leads, l)
+	for _, p := range n.primaries {
+		news.Leads = append(news.Leads, p)
 	}
 	return rosewire.Message{News: &news}
 }
 
 func (n *Node) receiveHello(now time.Time, hello rosewire.Hello) []Event {
-	return n.takeMember(now, rosewire.Member{
+	return n.mergeMember(now, rosewire.Member{
 		Proxy:       hello.Proxy,
 		Zone:        hello.Zone,
 		Address:     hello.Address,
@@ -45,57 +45,58 @@
 	})
 }
 
-func (n *Node) receiveHeartbeat(now time.Time, from rosemary.ProxyID, beat rosewire.Heartbeat) []Event {
+func (n *Node) receiveHeartbeat(now time.Time, from rosemary.ProxyID, heartbeat rosewire.Heartbeat) []Event {
 	p := n.peers[from]
 	if p == nil {
 		return nil
 	}
-	p.heardAt = now
-	p.version = beat.BundleVersion
-	if beat.Draining || beat.Incarnation < p.incarnation {
+	p.seenAt = now
+	p.bundleVersion = heartbeat.BundleVersion
+	if heartbeat.Draining || heartbeat.Incarnation < p.incarnation {
 		return nil
 	}
 	var events []Event
-	if p.state != StateAlive && p.state != StateLeaving || beat.Incarnation > p.incarnation || !p.proven {
-		p.incarnation = beat.Incarnation
-		p.proven = true
-		events = append(events, n.change(now, p, StateAlive))
+	if p.state != StateAlive && p.state != StateLeaving || heartbeat.Incarnation > p.incarnation || !p.confirmed {
+		p.incarnation = heartbeat.Incarnation
+		p.confirmed = true
+		events = append(events, n.setState(now, p, StateAlive))
 	}
-	return append(events, n.hearVersion(from, beat.BundleVersion)...)
+	return append(events, n.recordVersion(from, heartbeat.BundleVersion)...)
 }
 
 func (n *Node) receiveNews(now time.Time, from rosemary.ProxyID, news rosewire.News) []Event {
 	var events []Event
 	for _, m := range news.Members {
-		events = append(events, n.takeMember(now, m)...)
+		events = append(events, n.mergeMember(now, m)...)
 	}
-	for _, l := range news.Leads {
-		if n.takeLead(l) {
-			lead := l
-			n.news.Leads = append(n.news.Leads, lead)
-			events = append(events, Event{Primary: &lead})
+	for _, p := range news.Leads {
+		if n.recordPrimary(p) {
+			primary := p
+			n.pending.Leads = append(n.pending.Leads, primary)
+			events = append(events, Event{Primary: &primary})
 		}
 	}
 	if news.BundleVersion != nil {
-		events = append(events, n.hearVersion(from, *news.BundleVersion)...)
+		events = append(events, n.recordVersion(from, *news.BundleVersion)...)
 	}
 	return events
 }
 
-// hearVersion notes a newer bundle, and passes the news on at once: peers
-// then pull it along the way that the news came.
-func (n *Node) hearVersion(from rosemary.ProxyID, version uint64) []Event {
-	if version <= n.version {
+// recordVersion reports a bundle newer than the one in force. The event repeats
+// with every heartbeat until that bundle is in force, so a failed fetch is
+// tried again, from the peer that has it.
+func (n *Node) recordVersion(from rosemary.ProxyID, version uint64) []Event {
+	if version <= n.bundleVersion {
 		return nil
 	}
-	if version > n.newest {
-		n.newest = version
+	if version > n.newestVersion {
+		n.newestVersion = version
 	}
 	return []Event{{BundleVersion: version, From: from}}
 }
 
-// takeMember takes in what a peer says of a member.
-func (n *Node) takeMember(now time.Time, m rosewire.Member) []Event {
+// mergeMember applies a peer's report about a member.
+func (n *Node) mergeMember(now time.Time, m rosewire.Member) []Event {
 	id := rosemary.ProxyID(m.Proxy)
 	if id == n.config.Self.Proxy {
 		n.refute(m)
@@ -107,42 +108,43 @@
 		if state == StateDead {
 			return nil
 		}
-		p = &peer{heardAt: now}
+		p = &peer{seenAt: now}
 		n.peers[id] = p
-	} else if p.proven && !newer(m.Incarnation, state, p) {
+	} else if p.confirmed && !overrides(m.Incarnation, state, p) {
 		return nil
 	}
 	restarted := m.Incarnation > p.incarnation
 	p.member = rosemary.Member{Proxy: id, Zone: rosemary.Zone(m.Zone), Address: m.Address}
 	p.incarnation = m.Incarnation
-	p.proven = true
+	p.confirmed = true
 	if restarted {
-		p.heardAt = now
+		p.seenAt = now
 	}
-	return []Event{n.change(now, p, state)}
+	return []Event{n.setState(now, p, state)}
 }
 
-func newer(incarnation uint64, state State, p *peer) bool {
+func overrides(incarnation uint64, state State, p *peer) bool {
 	if incarnation != p.incarnation {
 		return incarnation > p.incarnation
 	}
 	return state > p.state
 }
 
-// refute answers a rumour that this proxy is gone.
+// refute increments the incarnation to override a report that this proxy is
+// suspected or gone.
 func (n *Node) refute(m rosewire.Member) {
 	if State(m.State) == StateAlive || m.Incarnation < n.incarnation || n.draining {
 		return
 	}
 	n.incarnation = m.Incarnation + 1
-	n.news.Members = append(n.news.Members, n.selfNews(StateAlive))
+	n.pending.Members = append(n.pending.Members, n.selfRecord(StateAlive))
 }
 
-// takeLead reports whether a lead is new.
-func (n *Node) takeLead(l rosewire.Lead) bool {
-	if known, ok := n.leads[l.Database]; ok && known.Term >= l.Term {
+// recordPrimary records a primary and reports whether it is new.
+func (n *Node) recordPrimary(primary rosewire.Lead) bool {
+	if known, ok := n.primaries[primary.Database]; ok && known.Term >= primary.Term {
 		return false
 	}
-	n.leads[l.Database] = l
+	n.primaries[primary.Database] = primary
 	return true
 }
--- a/pkg/rosepeer/scale_test.go
+++ b/pkg/rosepeer/scale_test.go
@@ -18,16 +18,16 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosewire"
 )
 
-// overheadBytes is what WebSocket, TCP and IP add to a message.
+// overheadBytes is the overhead of WebSocket, TCP and IP for one message.
 const overheadBytes = 46
 
-// delivery is a message on its way, or a tick when it has no message.
+// delivery is a message in transit, the completion of a fetch, or else a tick.
 type delivery struct {
 	at      time.Time
 	to      int
 	from    rosemary.ProxyID
 	message *rosewire.Message
-	// version is set for the end of a pull.
+	// version is set on the completion of a bundle fetch.
 	version uint64
 }
 
@@ -44,65 +44,65 @@
 	return last
 }
 
-// fleet runs the decisions of many nodes over in-memory links.
-type fleet struct {
-	now      time.Time
-	nodes    []*rosepeer.Node
-	members  []rosemary.Member
-	index    map[rosemary.ProxyID]int
-	queue    deliveries
-	dead     map[int]bool
-	messages uint64
-	bytes    uint64
-	inForce  map[int]time.Time
-	goneAt   map[int]time.Time
-	lost     rosemary.ProxyID
-	// falseAlarms counts suspicions against members that are alive.
-	falseAlarms int
+// simulation runs many nodes over in-memory links in simulated time.
+type simulation struct {
+	now            time.Time
+	nodes          []*rosepeer.Node
+	members        []rosemary.Member
+	index          map[rosemary.ProxyID]int
+	queue          deliveries
+	dead           map[int]bool
+	messages       uint64
+	bytes          uint64
+	activeAt       map[int]time.Time
+	reportedDeadAt map[int]time.Time
+	stopped        rosemary.ProxyID
+	// falseSuspicions counts suspicions of members that are alive.
+	falseSuspicions int
 }
 
 const (
-	tickEvery = 100 * time.Millisecond
-	regions   = 5
+	tickInterval = 100 * time.Millisecond
+	regions      = 5
 )
 
-// selector chooses neighbours; nil takes the product's rings.
+// selector chooses neighbours; nil uses the default rings.
 type selector func(self rosemary.Member, members []rosemary.Member) []rosemary.ProxyID
 
-func newFleet(size, zones, mesh int, choose selector) *fleet {
-	f := &fleet{
+func newSimulation(size, zones, fullMeshSize int, choose selector) *simulation {
+	s := &simulation{
 		now: time.Unix(1000, 0), index: make(map[rosemary.ProxyID]int), dead: make(map[int]bool),
-		inForce: make(map[int]time.Time), goneAt: make(map[int]time.Time),
+		activeAt: make(map[int]time.Time), reportedDeadAt: make(map[int]time.Time),
 	}
 	for i := range size {
-		f.members = append(f.members, rosemary.Member{
+		s.members = append(s.members, rosemary.Member{
 			Proxy: rosemary.ProxyID(fmt.Sprintf("proxy-%04d", i)), Zone: rosemary.Zone(fmt.Sprintf("zone-%02d", i%zones)),
 			Address: fmt.Sprintf("10.%d.%d.1:6433", i/256, i%256),
 		})
-		f.index[f.members[i].Proxy] = i
+		s.index[s.members[i].Proxy] = i
 	}
-	for i, m := range f.members {
-		node := rosepeer.NewNode(rosepeer.NodeConfig{Self: m, Incarnation: 1, FullMeshSize: mesh, SelectNeighbours: choose})
-		node.AddMembers(f.now, f.members)
-		f.nodes = append(f.nodes, node)
-		heap.Push(&f.queue, delivery{at: f.now.Add(tickEvery * time.Duration(i%100) / 100), to: i})
+	for i, m := range s.members {
+		node := rosepeer.NewNode(rosepeer.NodeConfig{Self: m, Incarnation: 1, FullMeshSize: fullMeshSize, SelectNeighbours: choose})
+		node.AddMembers(s.now, s.members)
+		s.nodes = append(s.nodes, node)
+		heap.Push(&s.queue, delivery{at: s.now.Add(tickInterval * time.Duration(i%100) / 100), to: i})
 	}
-	all := rosewire.News{}
-	for _, m := range f.members {
-		all.Members = append(all.Members, rosewire.Member{
+	members := rosewire.News{}
+	for _, m := range s.members {
+		members.Members = append(members.Members, rosewire.Member{
 			Proxy: string(m.Proxy), Zone: string(m.Zone), Address: m.Address, Incarnation: 1,
 		})
 	}
-	for _, n := range f.nodes {
-		_, _ = n.Receive(f.now, "", rosewire.Message{News: &all})
+	for _, n := range s.nodes {
+		_, _ = n.Receive(s.now, "", rosewire.Message{News: &members})
 	}
-	return f
+	return s
 }
 
-// delay is the one-way time between two nodes: short within a zone, more
-// between zones, and most between regions.
-func (f *fleet) delay(a, b int) time.Duration {
-	za, zb := f.members[a].Zone, f.members[b].Zone
+// delay is the one-way latency between two nodes: lowest within a zone, higher
+// between zones, highest between regions.
+func (s *simulation) delay(a, b int) time.Duration {
+	za, zb := s.members[a].Zone, s.members[b].Zone
 	switch {
 	case za == zb:
 		return 300 * time.Microsecond
@@ -118,148 +118,150 @@
 	return number
 }
 
-func (f *fleet) send(from int, envelopes []rosepeer.Envelope) {
+func (s *simulation) send(from int, envelopes []rosepeer.Envelope) {
 	for _, e := range envelopes {
-		to := f.index[e.To]
+		to := s.index[e.To]
 		body, err := cbor.Marshal(e.Message)
-		if err != nil || f.dead[to] {
+		if err != nil || s.dead[to] {
 			continue
 		}
-		f.messages++
-		f.bytes += uint64(len(body)) + overheadBytes
+		s.messages++
+		s.bytes += uint64(len(body)) + overheadBytes
 		message := e.Message
-		heap.Push(&f.queue, delivery{at: f.now.Add(f.delay(from, to)), to: to, from: f.members[from].Proxy, message: &message})
+		heap.Push(&s.queue, delivery{at: s.now.Add(s.delay(from, to)), to: to, from: s.members[from].Proxy, message: &message})
 	}
 }
 
-// take acts on events as a proxy does: it pulls a newer bundle from the peer
-// that told of it, manifest first and then a page and a section.
-func (f *fleet) take(i int, events []rosepeer.Event) {
+// handleEvents acts on events as a proxy does: it fetches a newer bundle from
+// the peer that reported it, in three round trips for manifest, page and
+// section.
+func (s *simulation) handleEvents(i int, events []rosepeer.Event) {
 	for _, e := range events {
-		if e.Member.Proxy != "" && e.Member.Proxy != f.lost && e.State != rosepeer.StateAlive {
-			f.falseAlarms++
+		if e.Member.Proxy != "" && e.Member.Proxy != s.stopped && e.State != rosepeer.StateAlive {
+			s.falseSuspicions++
 		}
-		if e.Member.Proxy == f.lost && e.State == rosepeer.StateDead && f.goneAt[i].IsZero() {
-			f.goneAt[i] = f.now
+		if e.Member.Proxy == s.stopped && e.State == rosepeer.StateDead && s.reportedDeadAt[i].IsZero() {
+			s.reportedDeadAt[i] = s.now
 		}
-		if e.BundleVersion > 0 && f.inForce[i].IsZero() {
+		if e.BundleVersion > 0 && s.activeAt[i].IsZero() {
 			const roundTrips = 3
-			f.inForce[i] = f.now.Add(time.Hour)
-			from := f.index[e.From]
-			heap.Push(&f.queue, delivery{at: f.now.Add(2 * roundTrips * f.delay(i, from)), to: i, version: e.BundleVersion})
+			s.activeAt[i] = s.now.Add(time.Hour)
+			from := s.index[e.From]
+			heap.Push(&s.queue, delivery{at: s.now.Add(2 * roundTrips * s.delay(i, from)), to: i, version: e.BundleVersion})
 		}
 	}
 }
 
-func (f *fleet) run(span time.Duration) {
-	end := f.now.Add(span)
-	for f.queue.Len() > 0 && f.queue[0].at.Before(end) {
-		d := heap.Pop(&f.queue).(delivery)
-		f.now = d.at
-		if f.dead[d.to] {
+func (s *simulation) run(duration time.Duration) {
+	end := s.now.Add(duration)
+	for s.queue.Len() > 0 && s.queue[0].at.Before(end) {
+		d := heap.Pop(&s.queue).(delivery)
+		s.now = d.at
+		if s.dead[d.to] {
 			continue
 		}
-		node := f.nodes[d.to]
+		node := s.nodes[d.to]
 		var envelopes []rosepeer.Envelope
 		var events []rosepeer.Event
 		switch {
 		case d.version > 0:
-			f.inForce[d.to] = f.now
+			s.activeAt[d.to] = s.now
 			node.SetBundleVersion(d.version)
-			envelopes, events = node.Tick(f.now)
+			envelopes, events = node.Tick(s.now)
 		case d.message != nil:
-			envelopes, events = node.Receive(f.now, d.from, *d.message)
+			envelopes, events = node.Receive(s.now, d.from, *d.message)
 		default:
-			envelopes, events = node.Tick(f.now)
-			heap.Push(&f.queue, delivery{at: f.now.Add(tickEvery), to: d.to})
+			envelopes, events = node.Tick(s.now)
+			heap.Push(&s.queue, delivery{at: s.now.Add(tickInterval), to: d.to})
 		}
-		f.send(d.to, envelopes)
-		f.take(d.to, events)
+		s.send(d.to, envelopes)
+		s.handleEvents(d.to, events)
 	}
-	f.now = end
+	s.now = end
 }
 
-// spread lets the watchers of every zone take a version and returns how long
-// it took to be in force on the last node.
-func (f *fleet) spread(version uint64) time.Duration {
-	began := f.now
-	clear(f.inForce)
+// rolloutTime sets a version on two nodes of every zone and returns the time
+// until it is in force on all nodes.
+func (s *simulation) rolloutTime(version uint64) time.Duration {
+	started := s.now
+	clear(s.activeAt)
 	zones := make(map[rosemary.Zone]int)
-	for i, m := range f.members {
-		if zones[m.Zone] < 2 && !f.dead[i] {
+	for i, m := range s.members {
+		if zones[m.Zone] < 2 && !s.dead[i] {
 			zones[m.Zone]++
-			f.inForce[i] = f.now
-			f.nodes[i].SetBundleVersion(version)
+			s.activeAt[i] = s.now
+			s.nodes[i].SetBundleVersion(version)
 		}
 	}
-	f.run(10 * time.Second)
+	s.run(10 * time.Second)
 	last := time.Duration(0)
-	for i := range f.members {
-		if f.dead[i] {
+	for i := range s.members {
+		if s.dead[i] {
 			continue
 		}
-		if f.inForce[i].IsZero() {
+		if s.activeAt[i].IsZero() {
 			return time.Hour
 		}
-		last = max(last, f.inForce[i].Sub(began))
+		last = max(last, s.activeAt[i].Sub(started))
 	}
 	return last
 }
 
-// lose kills a node and returns how long it took until all knew.
-func (f *fleet) lose(i int) time.Duration {
-	began := f.now
-	f.dead[i] = true
-	f.lost = f.members[i].Proxy
-	f.run(30 * time.Second)
+// detectionTime stops a node and returns the time until all others consider it
+// dead.
+func (s *simulation) detectionTime(i int) time.Duration {
+	started := s.now
+	s.dead[i] = true
+	s.stopped = s.members[i].Proxy
+	s.run(30 * time.Second)
 	last := time.Duration(0)
-	for j := range f.members {
-		if f.dead[j] {
+	for j := range s.members {
+		if s.dead[j] {
 			continue
 		}
-		if f.goneAt[j].IsZero() {
+		if s.reportedDeadAt[j].IsZero() {
 			return time.Hour
 		}
-		last = max(last, f.goneAt[j].Sub(began))
+		last = max(last, s.reportedDeadAt[j].Sub(started))
 	}
 	return last
 }
 
-// figures are what one fleet costs.
-type figures struct {
+// costs are the measured costs of one membership.
+type costs struct {
 	messages, bytes, cpu, memory float64
-	spread, notice               time.Duration
-	degree, falseAlarms          int
+	rollout, detection           time.Duration
+	degree, falseSuspicions      int
 }
 
-func measure(size, zones, mesh int, choose selector) figures {
+func measure(size, zones, fullMeshSize int, choose selector) costs {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	f := newFleet(size, zones, mesh, choose)
-	f.run(5 * time.Second)
+	s := newSimulation(size, zones, fullMeshSize, choose)
+	s.run(5 * time.Second)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	f.messages, f.bytes = 0, 0
-	const steady = 20
-	began := time.Now()
-	f.run(steady * time.Second)
-	took := time.Since(began)
-	result := figures{
-		messages: float64(f.messages) / steady / float64(size),
-		bytes:    float64(f.bytes) / steady / float64(size),
-		cpu:      took.Seconds() / steady / float64(size) * 100,
+	s.messages, s.bytes = 0, 0
+	const seconds = 20
+	started := time.Now()
+	s.run(seconds * time.Second)
+	elapsed := time.Since(started)
+	result := costs{
+		messages: float64(s.messages) / seconds / float64(size),
+		bytes:    float64(s.bytes) / seconds / float64(size),
+		cpu:      elapsed.Seconds() / seconds / float64(size) * 100,
 		memory:   float64(after.HeapAlloc-before.HeapAlloc) / float64(size) / (1 << 20),
-		degree:   len(f.nodes[0].Neighbours()),
+		degree:   len(s.nodes[0].Neighbours()),
 	}
-	result.spread = f.spread(2)
-	result.notice = f.lose(size / 2)
-	result.falseAlarms = f.falseAlarms
+	result.rollout = s.rolloutTime(2)
+	result.detection = s.detectionTime(size / 2)
+	result.falseSuspicions = s.falseSuspicions
 	return result
 }
 
-// randomSubsets gives each pair of nodes the same verdict at both ends, so
-// that each has about degree neighbours anywhere.
+// randomSubsets selects pairs of nodes symmetrically by a hash, so that each
+// node has about degree neighbours in any zone.
 func randomSubsets(degree int) selector {
 	return func(self rosemary.Member, members []rosemary.Member) []rosemary.ProxyID {
 		var chosen []rosemary.ProxyID
@@ -279,7 +281,7 @@
 	}
 }
 
-// zoneRelay makes the first node of a zone speak for the others.
+// zoneRelay makes the first node of each zone relay for the others.
 func zoneRelay(self rosemary.Member, members []rosemary.Member) []rosemary.ProxyID {
 	relays := make(map[rosemary.Zone]rosemary.Member)
 	for _, m := range members {
@@ -299,31 +301,32 @@
 	return chosen
 }
 
-// BenchmarkFleet reports what control costs at several sizes and ways to
-// choose neighbours. The processor's share includes the simulation's queue.
-func BenchmarkFleet(b *testing.B) {
-	ways := []struct {
-		name   string
-		mesh   int
-		choose selector
+// BenchmarkMembership reports the cost of the membership protocol for several
+// sizes and ways to choose neighbours. The CPU share includes the simulation's
+// queue.
+func BenchmarkMembership(b *testing.B) {
+	topologies := []struct {
+		name         string
+		fullMeshSize int
+		choose       selector
 	}{{"mesh", 1 << 20, nil}, {"rings", 8, nil}, {"subsets", 8, randomSubsets(12)}, {"relay", 8, zoneRelay}}
 	for _, size := range []int{6, 60, 600, 2200} {
-		for _, way := range ways {
-			if way.name == "mesh" && size > 60 {
+		for _, topology := range topologies {
+			if topology.name == "mesh" && size > 60 {
 				continue
 			}
-			b.Run(fmt.Sprintf("%s/nodes=%d", way.name, size), func(b *testing.B) {
-				var f figures
+			b.Run(fmt.Sprintf("%s/nodes=%d", topology.name, size), func(b *testing.B) {
+				var measured costs
 				for range b.N {
-					f = measure(size, min(19, max(3, size/20)), way.mesh, way.choose)
+					measured = measure(size, min(19, max(3, size/20)), topology.fullMeshSize, topology.choose)
 				}
-				b.ReportMetric(f.messages, "messages/node/s")
-				b.ReportMetric(f.bytes, "bytes/node/s")
-				b.ReportMetric(f.cpu, "cpu%/node")
-				b.ReportMetric(f.memory, "MB/node")
-				b.ReportMetric(f.spread.Seconds(), "s-in-force")
-				b.ReportMetric(f.notice.Seconds(), "s-to-notice")
-				b.ReportMetric(float64(f.degree), "neighbours")
+				b.ReportMetric(measured.messages, "messages/node/s")
+				b.ReportMetric(measured.bytes, "bytes/node/s")
+				b.ReportMetric(measured.cpu, "cpu%/node")
+				b.ReportMetric(measured.memory, "MB/node")
+				b.ReportMetric(measured.rollout.Seconds(), "s-in-force")
+				b.ReportMetric(measured.detection.Seconds(), "s-to-notice")
+				b.ReportMetric(float64(measured.degree), "neighbours")
 			})
 		}
 	}
@@ -331,11 +334,11 @@
 
 func TestVersionAndLossReachEveryNode(t *testing.T) {
 	for _, size := range []int{6, 60} {
-		f := measure(size, max(3, size/20), 8, nil)
+		measured := measure(size, max(3, size/20), 8, nil)
 		c := qt.New(t)
-		c.Check(f.spread < 7*time.Second, qt.IsTrue, qt.Commentf("in force after %s", f.spread))
-		c.Check(f.notice < 12*time.Second, qt.IsTrue, qt.Commentf("noticed after %s", f.notice))
-		c.Check(f.falseAlarms, qt.Equals, 0)
-		c.Check(f.bytes < 13_000, qt.IsTrue, qt.Commentf("%.0f bytes a second", f.bytes))
+		c.Check(measured.rollout < 7*time.Second, qt.IsTrue, qt.Commentf("in force on all nodes after %s", measured.rollout))
+		c.Check(measured.detection < 12*time.Second, qt.IsTrue, qt.Commentf("considered dead by all after %s", measured.detection))
+		c.Check(measured.falseSuspicions, qt.Equals, 0)
+		c.Check(measured.bytes < 13_000, qt.IsTrue, qt.Commentf("%.0f bytes per node and second", measured.bytes))
 	}
 }
--- a/pkg/rosepeer/survey.go
+++ b/pkg/rosepeer/survey.go
@@ -7,20 +7,23 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosewire"
 )
 
-// What a question may be about.
+// Values of Question.About.
 const (
-	// AboutReach asks whether a target answers the peer.
+	// AboutReachability asks whether the peer can reach a target.
 	AboutReachability = "Reach"
-	// AboutStop has the peer stop relying on the primary of a term.
+	// AboutPrimaryRevoked asks the peer to stop relying on the primary of a
+	// term.
 	AboutPrimaryRevoked = "Stop"
-	// AboutSuspicion tells that a primary has just not answered the sender.
+	// AboutPrimarySuspected reports that a primary has just not answered the
+	// sender.
 	AboutPrimarySuspected = "Suspicion"
-	// AboutComplaint tells that the sender can't reach a primary.
+	// AboutPrimaryUnreachable reports that the sender can't reach a primary.
 	AboutPrimaryUnreachable = "Complaint"
-	// AboutFacts asks for the statuses that the peer has sampled.
+	// AboutTargetStatuses asks for the target statuses that the peer has
+	// sampled.
 	AboutTargetStatuses = "Facts"
-	// AboutAbstain asks a peer that can't reach the store either not to
-	// claim a duty for a while.
+	// AboutAbstain asks a peer that can't reach the store either not to claim a
+	// lock for a while.
 	AboutAbstain = "Abstain"
 )
 
@@ -30,50 +33,50 @@
 	rosewire.Reply
 }
 
-// QueryAll asks every linked peer, and returns their replies once all have come
+// QueryAll asks every linked peer. It returns the replies once all have arrived
 // or ctx ends, and the peers that were asked.
 func (m *Mesh) QueryAll(ctx context.Context, question rosewire.Question) ([]PeerReply, []rosemary.ProxyID) {
-	return m.survey(ctx, question, m.LinkedPeers())
+	return m.queryPeers(ctx, question, m.LinkedPeers())
 }
 
-// Query asks one peer. It reports false without a reply before ctx ends.
+// Query asks one peer. It returns false if no reply arrives before ctx ends.
 func (m *Mesh) Query(ctx context.Context, to rosemary.ProxyID, question rosewire.Question) (rosewire.Reply, bool) {
-	replies, _ := m.survey(ctx, question, []rosemary.ProxyID{to})
+	replies, _ := m.queryPeers(ctx, question, []rosemary.ProxyID{to})
 	if len(replies) == 0 {
 		return rosewire.Reply{}, false
 	}
 	return replies[0].Reply, true
 }
 
-func (m *Mesh) survey(ctx context.Context, question rosewire.Question, asked []rosemary.ProxyID) ([]PeerReply, []rosemary.ProxyID) {
+func (m *Mesh) queryPeers(ctx context.Context, question rosewire.Question, asked []rosemary.ProxyID) ([]PeerReply, []rosemary.ProxyID) {
 	m.mu.Lock()
-	m.asked++
-	question.Number = m.asked
+	m.lastQuery++
+	question.Number = m.lastQuery
 	replies := make(chan PeerReply, len(asked))
-	m.surveys[question.Number] = replies
+	m.queries[question.Number] = replies
 	for _, id := range asked {
 		m.send(Envelope{id, rosewire.Message{Question: &question}})
 	}
 	m.mu.Unlock()
 	defer func() {
 		m.mu.Lock()
-		delete(m.surveys, question.Number)
+		delete(m.queries, question.Number)
 		m.mu.Unlock()
 	}()
-	var got []PeerReply
-	for len(got) < len(asked) {
+	var received []PeerReply
+	for len(received) < len(asked) {
 		select {
 		case reply := <-replies:
-			got = append(got, reply)
+			received = append(received, reply)
 		case <-ctx.Done():
-			return got, asked
+			return received, asked
 		}
 	}
-	return got, asked
+	return received, asked
 }
 
-// answer replies to a peer's question.
-func (m *Mesh) answer(from rosemary.ProxyID, question rosewire.Question) {
+// answerQuestion replies to a peer's question in the background.
+func (m *Mesh) answerQuestion(from rosemary.ProxyID, question rosewire.Question) {
 	if m.config.OnQuestion == nil {
 		return
 	}
@@ -84,12 +87,13 @@
 	})
 }
 
-// replied passes a reply on to its survey. One that came twice is dropped.
-func (m *Mesh) replied(from rosemary.ProxyID, reply rosewire.Reply) {
+// deliverReply passes a reply to the query that waits for it. Replies to a
+// finished query and duplicates beyond its buffer are dropped.
+func (m *Mesh) deliverReply(from rosemary.ProxyID, reply rosewire.Reply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	select {
-	case m.surveys[reply.Number] <- PeerReply{from, reply}:
+	case m.queries[reply.Number] <- PeerReply{from, reply}:
 	default:
 	}
 }
--- a/pkg/rosepeer/tunnel.go
+++ b/pkg/rosepeer/tunnel.go
@@ -17,26 +17,28 @@
 )
 
 const (
-	// directTimeout bounds a direct attempt while peers may reach the target.
+	// directTimeout bounds a direct connection attempt, so that a tunnel can
+	// still be tried.
 	directTimeout = 250 * time.Millisecond
-	// directPause is how long an address that timed out isn't tried directly.
-	directPause = 2 * time.Second
-	// maxTunnelPeers bounds the peers that are asked for a tunnel.
+	// directRetryDelay is how long direct attempts are skipped for an address
+	// that timed out.
+	directRetryDelay = 2 * time.Second
+	// maxTunnelPeers is the number of peers tried for a tunnel.
 	maxTunnelPeers = 3
 )
 
-// serveTunnel joins a peer to a target that only this proxy may reach.
+// serveTunnel connects a peer to a target that the peer can't reach directly.
 func (m *Mesh) serveTunnel(w http.ResponseWriter, r *http.Request) {
 	address := r.URL.Query().Get("address")
 	if !m.config.AllowTunnel(address) {
-		http.Error(w, "the address is no target of the bundle in force", http.StatusForbidden)
+		http.Error(w, "address is not a target of the bundle in force", http.StatusForbidden)
 		return
 	}
-	dialing, cancel := context.WithTimeout(r.Context(), directTimeout)
-	target, err := m.config.Dialer.Dial(dialing, address)
+	dialCtx, cancel := context.WithTimeout(r.Context(), directTimeout)
+	target, err := m.config.Dialer.Dial(dialCtx, address)
 	cancel()
 	if err != nil {
-		http.Error(w, "the target can't be reached from here either", http.StatusBadGateway)
+		http.Error(w, "target is not reachable from this proxy either", http.StatusBadGateway)
 		return
 	}
 	defer target.Close()
@@ -45,11 +47,11 @@
 		return
 	}
 	conn.SetReadLimit(-1)
-	join(newTunnelConn(r.Context(), conn), target)
+	pipe(newTunnelConn(r.Context(), conn), target)
 }
 
-// tunnelConn is a stream within a WebSocket. Its Close doesn't wait for the
-// other end, as that of a socket doesn't.
+// tunnelConn is a stream over a WebSocket. Close doesn't wait for the other
+// end, as with a socket.
 type tunnelConn struct {
 	net.Conn
 	socket *websocket.Conn
@@ -59,79 +61,81 @@
 	return &tunnelConn{websocket.NetConn(ctx, socket, websocket.MessageBinary), socket}
 }
 
-// Close ends the stream at once.
+// Close closes the stream at once.
 func (c *tunnelConn) Close() error { return c.socket.CloseNow() }
 
-// join copies both ways until one side ends.
-func join(a, b net.Conn) {
+// pipe copies in both directions until one side ends.
+func pipe(a, b net.Conn) {
 	var copies sync.WaitGroup
-	one := func(to, from net.Conn) {
+	copyStream := func(to, from net.Conn) {
 		_, _ = io.Copy(to, from)
 		to.Close()
 		from.Close()
 	}
-	copies.Go(func() { one(a, b) })
-	copies.Go(func() { one(b, a) })
+	copies.Go(func() { copyStream(a, b) })
+	copies.Go(func() { copyStream(b, a) })
 	copies.Wait()
 }
 
-// TunnelDialer reaches targets directly, or through a peer when the network
-// doesn't let this proxy through. It implements rosemary.Dialer.
+// TunnelDialer connects to targets directly, or through a peer when the network
+// path from this proxy times out. It implements rosemary.Dialer.
 type TunnelDialer struct {
 	direct rosemary.Dialer
 	mesh   func() *Mesh
 
-	mu      sync.Mutex
-	blocked map[string]time.Time
+	mu         sync.Mutex
+	timedOutAt map[string]time.Time
 }
 
 var _ rosemary.Dialer = (*TunnelDialer)(nil)
 
-// NewTunnelDialer returns a dialer over direct and the mesh that mesh returns.
+// NewTunnelDialer returns a dialer that tries direct first. mesh returns the
+// mesh, or nil before there is one.
 func NewTunnelDialer(direct rosemary.Dialer, mesh func() *Mesh) *TunnelDialer {
-	return &TunnelDialer{direct: direct, mesh: mesh, blocked: make(map[string]time.Time)}
+	return &TunnelDialer{direct: direct, mesh: mesh, timedOutAt: make(map[string]time.Time)}
 }
 
-// Dial opens a stream to address. The error is that of the direct attempt.
+// Dial opens a stream to address. If both paths fail, the error is that of the
+// direct attempt, if one was made.
 func (d *TunnelDialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	mesh := d.mesh()
 	if mesh == nil || len(mesh.LinkedPeers()) == 0 {
 		return d.direct.Dial(ctx, address)
 	}
 	d.mu.Lock()
-	blocked := time.Since(d.blocked[address]) < directPause
+	skipDirect := time.Since(d.timedOutAt[address]) < directRetryDelay
 	d.mu.Unlock()
-	var failure error
-	if !blocked {
-		direct, cancel := context.WithTimeout(ctx, directTimeout)
-		conn, err := d.direct.Dial(direct, address)
-		timedOut := direct.Err() != nil
+	var firstErr error
+	if !skipDirect {
+		directCtx, cancel := context.WithTimeout(ctx, directTimeout)
+		conn, err := d.direct.Dial(directCtx, address)
+		timedOut := directCtx.Err() != nil
 		cancel()
 		if err == nil || !timedOut {
 			return conn, err
 		}
-		failure = err
+		firstErr = err
 		d.mu.Lock()
-		d.blocked[address] = time.Now()
+		d.timedOutAt[address] = time.Now()
 		d.mu.Unlock()
 	}
 	conn, err := mesh.Tunnel(ctx, address)
-	if err != nil && failure == nil {
-		failure = err
+	if err != nil && firstErr == nil {
+		firstErr = err
 	}
 	if err != nil {
-		return nil, failure
+		return nil, firstErr
 	}
 	return conn, nil
 }
 
-// Tunnel opens a stream to a target through a linked peer, those of other
-// zones first. The error is a trace.ConnectionProblem.
+// Tunnel opens a stream to a target through a linked peer, trying peers of
+// other zones first. The error is a trace.ConnectionProblem.
 func (m *Mesh) Tunnel(ctx context.Context, address string) (net.Conn, error) {
 	for _, member := range m.tunnelPeers() {
-		dialing, cancel := context.WithTimeout(ctx, dialTimeout)
-		target := m.scheme + member.Address + "/tunnel?address=" + url.QueryEscape(address)
-		conn, _, err := websocket.Dial(dialing, target, &websocket.DialOptions{HTTPClient: m.client})
+		dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+		endpoint := m.scheme + member.Address + "/tunnel?address=" + url.QueryEscape(address)
+		conn, _, err := websocket.Dial(dialCtx, endpoint, &websocket.DialOptions{HTTPClient: m.client})
 		cancel()
 		if err != nil {
 			continue
@@ -139,7 +143,7 @@
 		conn.SetReadLimit(-1)
 		return newTunnelConn(context.WithoutCancel(ctx), conn), nil
 	}
-	return nil, trace.ConnectionProblem(nil, "no peer reaches %s", address)
+	return nil, trace.ConnectionProblem(nil, "no linked peer can reach %s", address)
 }
 
 func (m *Mesh) tunnelPeers() []rosemary.Member {
--- a/pkg/rosepeer/tunnel_test.go
+++ b/pkg/rosepeer/tunnel_test.go
@@ -15,7 +15,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosewire"
 )
 
-// startMesh runs a mesh of one proxy on network and returns it.
+// startMesh runs the mesh of one proxy on network until ctx ends.
 func startMesh(ctx context.Context, c *qt.C, network *rosenet.Network, name, zone string, seeds ...rosemary.Member) (*rosepeer.Mesh, rosemary.Member) {
 	place := rosenet.Place{Name: name, Zone: zone}
 	listener, err := network.Listen(place, "")
@@ -67,14 +67,15 @@
 		c.Assert(err, qt.IsNil)
 		c.Check(string(buffer), qt.Equals, "hello")
 
-		// Once the peer is silent, closing the stream must not wait for it.
+		// Closing the stream must not wait for a peer that has stopped
+		// answering.
 		network.Silence("second")
 		started := time.Now()
 		conn.Close()
 		c.Check(time.Since(started), qt.Equals, time.Duration(0))
 
 		_, err = first.Tunnel(ctx, "elsewhere:1")
-		c.Check(err, qt.ErrorMatches, "no peer reaches elsewhere:1")
+		c.Check(err, qt.ErrorMatches, "no linked peer can reach elsewhere:1")
 		cancel()
 		target.Close()
 		network.Close()
