--- a/pkg/rosebundle/bench_test.go
+++ b/pkg/rosebundle/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-// largeContent declares as many databases as the next two years bring.
+// largeContent declares a number of databases with three targets each.
 func largeContent(databases int, key ed25519.PrivateKey) *rosebundle.Content {
 	public, _ := key.Public().(ed25519.PublicKey)
 	content := &rosebundle.Content{
@@ -32,9 +32,10 @@
 	return content
 }
 
-// BenchmarkTakeChange reports what a change of one database costs a proxy
-// among 2,400 databases: bytes fetched, and the time to check and apply.
-func BenchmarkTakeChange(b *testing.B) {
+// BenchmarkUpdateAfterChange reports what a change of one database costs a
+// proxy with 2,400 databases, the number expected in two years: bytes fetched,
+// and the time to verify and apply.
+func BenchmarkUpdateAfterChange(b *testing.B) {
 	c := qt.New(b)
 	key := ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 	content := largeContent(2400, key)
@@ -50,7 +51,7 @@
 		return parts[digest], nil
 	}
 	c.Assert(rollout.Update(context.Background(), m.Encode(), fetch), qt.IsNil)
-	whole := fetched
+	firstFetch := fetched
 	fetched = 0
 	for b.Loop() {
 		content.Databases[7].Slots = content.Databases[7].Slots%9 + 1
@@ -60,5 +61,5 @@
 		c.Assert(rollout.Update(context.Background(), m.Encode(), fetch), qt.IsNil)
 	}
 	b.ReportMetric(float64(fetched)/float64(b.N), "bytes/change")
-	b.ReportMetric(float64(whole), "bytes/first")
+	b.ReportMetric(float64(firstFetch), "bytes/first")
 }
--- a/pkg/rosebundle/change.go
+++ b/pkg/rosebundle/change.go
@@ -2,44 +2,45 @@
 
 import "fmt"
 
-// CheckChange returns what makes next an unsafe successor of now. A group's
-// acknowledged writes are on a quorum of its targets; a target may therefore
-// only go after it was leaving, and only one may be replaced at a time.
-func CheckChange(now, next *Content) []Fault {
-	ch := &checker{targets: make(map[string]bool)}
-	before := make(map[string]Database)
-	for _, d := range now.Databases {
-		before[d.Name] = d
+// CheckChange returns the faults that make next an unsafe successor of current.
+// A group's acknowledged writes are on a quorum of its targets, so a target may
+// only be removed after it was marked as leaving, and only one may be replaced
+// per version.
+func CheckChange(current, next *Content) []Fault {
+	ch := &checker{seenTargets: make(map[string]bool)}
+	currentDatabases := make(map[string]Database)
+	for _, d := range current.Databases {
+		currentDatabases[d.Name] = d
 	}
 	for i, d := range next.Databases {
-		if old, existed := before[d.Name]; existed {
-			ch.groupChange(fmt.Sprintf("Databases[%d].Targets", i), old, d)
+		if old, existed := currentDatabases[d.Name]; existed {
+			ch.checkGroupChange(fmt.Sprintf("Databases[%d].Targets", i), old, d)
 		}
 	}
 	return ch.faults
 }
 
-func (ch *checker) groupChange(key string, old, next Database) {
+func (ch *checker) checkGroupChange(key string, old, next Database) {
 	kept := make(map[string]bool)
 	for _, t := range next.Targets {
 		kept[t.ID] = true
 	}
-	gone := 0
+	removed := 0
 	for _, t := range old.Targets {
 		if kept[t.ID] {
 			continue
 		}
-		gone++
+		removed++
 		if !t.Leaving {
-			ch.add(key, fmt.Sprintf("target %q goes without having been leaving", t.ID),
-				"set Leaving = true in one version, and remove it in the next")
+			ch.add(key, fmt.Sprintf("target %q is removed without having been marked as leaving", t.ID),
+				"set Leaving = true in one version and remove the target in the next")
 		}
 	}
 	if len(next.Targets) != len(old.Targets) {
 		ch.add(key, fmt.Sprintf("the number of targets changes from %d to %d", len(old.Targets), len(next.Targets)),
-			"replace a leaving target by a new one in the same version")
+			"replace a leaving target with a new one in the same version")
 	}
-	if gone > 1 {
-		ch.add(key, fmt.Sprintf("%d targets are replaced at once", gone), "replace one in each version")
+	if removed > 1 {
+		ch.add(key, fmt.Sprintf("%d targets are replaced at once", removed), "replace one per version")
 	}
 }
--- a/pkg/rosebundle/content.go
+++ b/pkg/rosebundle/content.go
@@ -1,6 +1,6 @@
-// Package rosebundle holds the operators' configuration: which databases,
-// targets, classes and tenants there are, who may change them, and the signed
-// versions by which a change comes into force.
+// Package rosebundle implements the operators' configuration: the databases,
+// targets, classes and tenants, the operators who may change them, and the
+// signed versions that put a change into force.
 package rosebundle
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Content is what a bundle says. It is read from TOML files and never changed
-// once it is in force.
+// Content is the configuration in a bundle. It is read from TOML files and
+// immutable once in force.
 type Content struct {
 	Databases []Database
 	Classes   []Class
@@ -20,7 +20,7 @@
 	Signatures int
 }
 
-// Database is a group of targets.
+// Database configures a group of targets.
 type Database struct {
 	Name string
 	// Slots is the number of statements that a target runs at once.
@@ -35,11 +35,11 @@
 	ID      string
 	Address string
 	Zone    string
-	// Leaving takes the target out of service for new work.
+	// Leaving excludes the target from new work.
 	Leaving bool
 }
 
-// Class declares a kind of statement.
+// Class configures a class of statements.
 type Class struct {
 	Name       string
 	ReadOnly   bool
@@ -49,34 +49,34 @@
 	Weight     int
 }
 
-// Tenant declares a customer.
+// Tenant configures a customer whose work is isolated from that of others.
 type Tenant struct {
 	Name      string
 	Weight    int
 	Databases []string
-	// Verifier is a SCRAM-SHA-256 verifier; Trust must be set without one.
+	// Verifier is a SCRAM-SHA-256 verifier. Without one, Trust must be set.
 	Verifier string
 	Trust    bool
 }
 
-// Operator may sign changes.
+// Operator is allowed to sign changes.
 type Operator struct {
 	Name string
 	// PublicKey is an Ed25519 key in base64.
 	PublicKey string
 }
 
-// Duration is a time span that is written as "250ms" or "5s".
+// Duration is a duration written as "250ms" or "5s".
 type Duration time.Duration
 
-// UnmarshalText reads the form that time.ParseDuration takes.
+// UnmarshalText reads the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
-	span, err := time.ParseDuration(string(text))
-	*d = Duration(span)
+	duration, err := time.ParseDuration(string(text))
+	*d = Duration(duration)
 	return err
 }
 
-// MarshalText writes the form that UnmarshalText reads.
+// MarshalText writes the format that UnmarshalText reads.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
--- a/pkg/rosebundle/manifest.go
+++ b/pkg/rosebundle/manifest.go
@@ -15,13 +15,13 @@
 )
 
 // pageThreshold is the number of sections above which the list of sections is
-// split in pages, so that a change moves one page and not the whole list.
+// split into pages, so that a change transfers one page and not the whole list.
 const pageThreshold = 64
 
 // pageCount is the number of pages of a split list.
 const pageCount = 64
 
-// Names of the sections that aren't databases.
+// Names of the sections; each database has one, named by the prefix.
 const (
 	sectionClasses   = "classes"
 	sectionTenants   = "tenants"
@@ -29,11 +29,11 @@
 	databasePrefix   = "database/"
 )
 
-// Manifest is a version of the bundle: small, signed, and naming everything
-// else by digest.
+// Manifest is a signed version of the bundle. It is small and refers to all
+// other parts by digest.
 type Manifest struct {
 	Version uint64
-	// Parent is the digest of the manifest that this one follows.
+	// Parent is the digest of the preceding manifest.
 	Parent string
 	// Operators is the digest of the section that lists the operators.
 	Operators string
@@ -42,37 +42,38 @@
 	Signatures []Signature `json:",omitempty"`
 }
 
-// Signature is one operator's consent.
+// Signature is one operator's approval of a manifest.
 type Signature struct {
 	Operator string
 	// Value is an Ed25519 signature in base64.
 	Value string
 }
 
-// entry is a section in a page.
+// entry is a section listed in a page.
 type entry struct {
 	Name   string
 	Digest string
 }
 
-// Parts holds pages and sections by digest.
+// Parts maps digests to pages, sections and manifests.
 type Parts map[string]string
 
-// Digest returns the content address of a text.
+// Digest returns the SHA-256 digest of a text in hexadecimal, by which parts
+// are addressed.
 func Digest(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
 
-// body returns what is signed and what the digest is of.
-func (m Manifest) body() string {
+// signedBody returns the text that is signed and hashed.
+func (m Manifest) signedBody() string {
 	m.Signatures = nil
 	text, _ := json.Marshal(m)
 	return string(text)
 }
 
-// Digest returns the manifest's content address, without its signatures.
-func (m Manifest) Digest() string { return Digest(m.body()) }
+// Digest returns the digest of the manifest without its signatures.
+func (m Manifest) Digest() string { return Digest(m.signedBody()) }
 
 // Encode returns the manifest as text, signatures included.
 func (m Manifest) Encode() string {
@@ -80,7 +81,8 @@
 	return string(text)
 }
 
-// DecodeManifest reads what Encode writes. The error is a trace.BadParameter.
+// DecodeManifest reads the format that Encode writes. The error is a
+// trace.BadParameter.
 func DecodeManifest(text string) (Manifest, error) {
 	var m Manifest
 	if err := json.Unmarshal([]byte(text), &m); err != nil {
@@ -91,59 +93,59 @@
 
 // WithSignature returns a copy signed by an operator.
 func (m Manifest) WithSignature(operator string, key ed25519.PrivateKey) Manifest {
-	value := base64.StdEncoding.EncodeToString(ed25519.Sign(key, []byte(m.body())))
+	value := base64.StdEncoding.EncodeToString(ed25519.Sign(key, []byte(m.signedBody())))
 	kept := slices.DeleteFunc(slices.Clone(m.Signatures), func(s Signature) bool { return s.Operator == operator })
 	m.Signatures = append(kept, Signature{operator, value})
 	return m
 }
 
-// signers returns the operators of list whose signatures hold.
-func (m Manifest) signers(list []Operator) []string {
+// validSigners returns the operators of list with a valid signature.
+func (m Manifest) validSigners(list []Operator) []string {
 	var names []string
 	for _, s := range m.Signatures {
 		value, err := base64.StdEncoding.DecodeString(s.Value)
-		at := slices.IndexFunc(list, func(o Operator) bool { return o.Name == s.Operator })
-		if err != nil || at < 0 || slices.Contains(names, s.Operator) {
+		index := slices.IndexFunc(list, func(o Operator) bool { return o.Name == s.Operator })
+		if err != nil || index < 0 || slices.Contains(names, s.Operator) {
 			continue
 		}
-		key, err := list[at].Key()
-		if err == nil && ed25519.Verify(key, []byte(m.body()), value) {
+		key, err := list[index].Key()
+		if err == nil && ed25519.Verify(key, []byte(m.signedBody()), value) {
 			names = append(names, s.Operator)
 		}
 	}
 	return names
 }
 
-// VerifySignatures returns a trace.AccessDenied unless enough of the operators in
-// force signed.
+// VerifySignatures returns a trace.AccessDenied unless enough of operators have
+// signed.
 func (m Manifest) VerifySignatures(operators OperatorList) error {
-	signers := m.signers(operators.Operators)
+	signers := m.validSigners(operators.Operators)
 	if len(signers) < max(operators.Signatures, 1) {
-		return trace.AccessDenied("bundle %d has the valid signatures of %v, and needs %d: have more operators run rosemary bundle sign",
+		return trace.AccessDenied("bundle %d has valid signatures of %v but needs %d: have more operators run rosemary bundle sign",
 			m.Version, signers, max(operators.Signatures, 1))
 	}
 	return nil
 }
 
-// OperatorList is the section about operators.
+// OperatorList is the section that lists the operators.
 type OperatorList struct {
 	Operators  []Operator
 	Signatures int
 }
 
-// Build splits content in parts and returns the unsigned manifest that follows
-// parent; a zero parent makes the first version.
+// Build splits content into parts and returns the unsigned manifest that
+// follows parent; a zero parent makes the first version.
 func Build(content *Content, parent Manifest) (Manifest, Parts) {
 	sections := make(map[string]string)
-	put := func(name string, value any) {
+	addSection := func(name string, value any) {
 		text, _ := json.Marshal(value)
 		sections[name] = string(text)
 	}
-	put(sectionClasses, content.Classes)
-	put(sectionTenants, content.Tenants)
-	put(sectionOperators, OperatorList{content.Operators, content.Signatures})
+	addSection(sectionClasses, content.Classes)
+	addSection(sectionTenants, content.Tenants)
+	addSection(sectionOperators, OperatorList{content.Operators, content.Signatures})
 	for _, d := range content.Databases {
-		put(databasePrefix+d.Name, d)
+		addSection(databasePrefix+d.Name, d)
 	}
 	parts := make(Parts)
 	pages := make([][]entry, 1)
@@ -153,8 +155,8 @@
 	for name, text := range sections {
 		digest := Digest(text)
 		parts[digest] = text
-		at := pageOf(name, len(pages))
-		pages[at] = append(pages[at], entry{name, digest})
+		pageIndex := pageOf(name, len(pages))
+		pages[pageIndex] = append(pages[pageIndex], entry{name, digest})
 	}
 	m := Manifest{Version: parent.Version + 1, Operators: Digest(sections[sectionOperators])}
 	if parent.Version > 0 {
@@ -176,8 +178,8 @@
 	return int(hash.Sum32() % uint32(pages))
 }
 
-// MissingParts returns the digests of the parts that aren't there yet: first pages,
-// then, once these are there, sections.
+// MissingParts returns the digests of the parts that are not in parts yet:
+// first pages, then, once all pages are present, sections.
 func (m Manifest) MissingParts(parts Parts) ([]string, error) {
 	var missing []string
 	for _, digest := range append([]string{m.Operators}, m.Pages...) {
@@ -205,7 +207,7 @@
 	for _, digest := range m.Pages {
 		var page []entry
 		if err := json.Unmarshal([]byte(parts[digest]), &page); err != nil {
-			return nil, trace.BadParameter("page %s of bundle %d can't be read", short(digest), m.Version)
+			return nil, trace.BadParameter("page %s of bundle %d is not valid JSON", shortDigest(digest), m.Version)
 		}
 		entries = append(entries, page...)
 	}
@@ -216,13 +218,13 @@
 func (m Manifest) OperatorList(parts Parts) (OperatorList, error) {
 	var list OperatorList
 	if err := json.Unmarshal([]byte(parts[m.Operators]), &list); err != nil {
-		return list, trace.BadParameter("the operators of bundle %d can't be read", m.Version)
+		return list, trace.BadParameter("the operator list of bundle %d is not valid JSON", m.Version)
 	}
 	return list, nil
 }
 
-// Content puts the parts together. The error is a trace.BadParameter, or a
-// *FaultsError.
+// Content assembles the content from parts. The error is a trace.BadParameter
+// or a *ValidationError.
 func (m Manifest) Content(parts Parts) (*Content, error) {
 	entries, err := m.entries(parts)
 	if err != nil {
@@ -230,8 +232,8 @@
 	}
 	content := &Content{}
 	for _, e := range entries {
-		if err := content.add(e, parts[e.Digest]); err != nil {
-			return nil, trace.BadParameter("section %s of bundle %d can't be read: %v", e.Name, m.Version, err)
+		if err := content.addSection(e, parts[e.Digest]); err != nil {
+			return nil, trace.BadParameter("decode section %s of bundle %d: %v", e.Name, m.Version, err)
 		}
 	}
 	slices.SortFunc(content.Databases, func(a, b Database) int { return strings.Compare(a.Name, b.Name) })
@@ -241,7 +243,7 @@
 	return content, nil
 }
 
-func (c *Content) add(e entry, text string) error {
+func (c *Content) addSection(e entry, text string) error {
 	switch e.Name {
 	case sectionClasses:
 		return json.Unmarshal([]byte(text), &c.Classes)
@@ -261,8 +263,8 @@
 	return nil
 }
 
-// used returns the parts that the manifest names.
-func (m Manifest) used(parts Parts) Parts {
+// referencedParts returns the parts that the manifest refers to.
+func (m Manifest) referencedParts(parts Parts) Parts {
 	kept := Parts{m.Operators: parts[m.Operators]}
 	for _, digest := range m.Pages {
 		kept[digest] = parts[digest]
@@ -274,11 +276,11 @@
 	return kept
 }
 
-func short(digest string) string {
+func shortDigest(digest string) string {
 	return digest[:min(len(digest), 12)]
 }
 
-// String names the manifest by version and digest.
+// String formats the version and the abbreviated digest.
 func (m Manifest) String() string {
-	return strconv.FormatUint(m.Version, 10) + "@" + short(m.Digest())
+	return strconv.FormatUint(m.Version, 10) + "@" + shortDigest(m.Digest())
 }
--- a/pkg/rosebundle/rollout.go
+++ b/pkg/rosebundle/rollout.go
@@ -12,65 +12,64 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Keys of the platform's store.
+// Keys in the platform's store.
 const (
 	currentKey = "Bundle/Current"
 	partPrefix = "Bundle/Parts/"
 )
 
-// maxAncestors bounds the versions that are looked through when the operators
-// changed while a proxy was away.
+// maxAncestors bounds the versions fetched to verify a chain of operator
+// changes that a proxy has missed.
 const maxAncestors = 256
 
 // FetchFunc returns a part by its digest.
 type FetchFunc func(ctx context.Context, digest string) (string, error)
 
-// RolloutConfig sets up a Rollout.
+// RolloutConfig configures a Rollout.
 type RolloutConfig struct {
-	// Anchors are operators' keys from settings, for a proxy that has no
+	// TrustAnchors are the operators from the settings, for a proxy that has no
 	// bundle in force yet.
 	TrustAnchors OperatorList
-	// Apply brings a content into force.
+	// Apply puts content into force.
 	Apply func(*Content, Manifest)
 }
 
-// Rollout holds the bundle in force at one proxy and takes in newer ones. A
-// bundle comes into force only with a higher version and the signatures that
-// the one before demands, so nothing brings an older one back.
+// Rollout holds the bundle in force at one proxy and updates it. A bundle comes
+// into force only with a higher version and the signatures that its predecessor
+// requires, so an older one can't be replayed.
 type Rollout struct {
 	config RolloutConfig
 
-	// taking holds one token while a bundle is fetched and applied.
-	taking chan struct{}
+	// updating is a semaphore held while a bundle is fetched and applied.
+	updating chan struct{}
 
-	mu      sync.Mutex
-	current Manifest
-	parts   Parts
-	since   time.Time
-	last    error
+	mu          sync.Mutex
+	current     Manifest
+	parts       Parts
+	activeSince time.Time
+	lastErr     error
 }
 
 // NewRollout returns a rollout without a bundle.
 func NewRollout(config RolloutConfig) *Rollout {
-	return &Rollout{config: config, parts: make(Parts), taking: make(chan struct{}, 1)}
+	return &Rollout{config: config, parts: make(Parts), updating: make(chan struct{}, 1)}
 }
 
-// Current returns the manifest in force and since when it is.
+// Current returns the manifest in force and the time it came into force.
 func (r *Rollout) Current() (Manifest, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.current, r.since
+	return r.current, r.activeSince
 }
 
 // LastError returns why the last bundle seen was refused, or nil.
 func (r *Rollout) LastError() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.last
+	return r.lastErr
 }
 
-// Part returns a part for a peer: the manifest in force for an empty
-// digest.
+// Part returns a part for a peer, or the manifest in force for an empty digest.
 func (r *Rollout) Part(digest string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,39 +80,40 @@
 	return text, ok
 }
 
-// Update brings the manifest of that text into force, if it is newer and holds.
-// Parts that are missing come from fetch. Errors are trace.AccessDenied for a
-// bundle that isn't signed as demanded, trace.BadParameter and *FaultsError
-// for one that is damaged, and those of fetch.
+// Update puts the encoded manifest into force if it is newer and valid. Missing
+// parts come from fetch. Errors are trace.AccessDenied for a bundle without the
+// required signatures, trace.BadParameter and *ValidationError for an invalid
+// one, trace.ConnectionProblem when ctx ends during another update, and those
+// of fetch.
 func (r *Rollout) Update(ctx context.Context, text string, fetch FetchFunc) error {
 	select {
-	case r.taking <- struct{}{}:
+	case r.updating <- struct{}{}:
 	case <-ctx.Done():
-		return trace.ConnectionProblem(ctx.Err(), "another bundle is being fetched")
+		return trace.ConnectionProblem(ctx.Err(), "gave up waiting for the update to another bundle")
 	}
-	defer func() { <-r.taking }()
-	err := r.take(ctx, text, fetch)
+	defer func() { <-r.updating }()
+	err := r.update(ctx, text, fetch)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last = err
+	r.lastErr = err
 	return err
 }
 
-func (r *Rollout) take(ctx context.Context, text string, fetch FetchFunc) error {
+func (r *Rollout) update(ctx context.Context, text string, fetch FetchFunc) error {
 	m, err := DecodeManifest(text)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	current, parts := r.current, r.current.used(r.parts)
+	current, parts := r.current, r.current.referencedParts(r.parts)
 	r.mu.Unlock()
 	if m.Version <= current.Version {
 		return nil
 	}
-	if err := r.trusted(ctx, m, current, parts, fetch); err != nil {
+	if err := r.verify(ctx, m, current, parts, fetch); err != nil {
 		return err
 	}
-	if err := gather(ctx, m, parts, fetch); err != nil {
+	if err := fetchMissing(ctx, m, parts, fetch); err != nil {
 		return err
 	}
 	content, err := m.Content(parts)
@@ -123,17 +123,18 @@
 	r.config.Apply(content, m)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.current, r.parts, r.since = m, m.used(parts), time.Now()
-	// Peers that are behind ask for this manifest by its digest.
+	r.current, r.parts, r.activeSince = m, m.referencedParts(parts), time.Now()
+	// Peers that are behind request this manifest by its digest.
 	r.parts[m.Digest()] = m.Encode()
 	return nil
 }
 
-// trusted checks the signatures of m against the operators in force. If these
-// changed on the way, every version back to one that is in force is checked.
-func (r *Rollout) trusted(ctx context.Context, m, current Manifest, parts Parts, fetch FetchFunc) error {
+// verify checks the signatures of m against the operators in force. If the
+// operators changed since then, every version in between is checked against its
+// predecessor's operators.
+func (r *Rollout) verify(ctx context.Context, m, current Manifest, parts Parts, fetch FetchFunc) error {
 	if current.Version == 0 {
-		return r.anchored(ctx, m, parts, fetch)
+		return r.verifyFirst(ctx, m, parts, fetch)
 	}
 	if m.Operators == current.Operators {
 		list, err := current.OperatorList(parts)
@@ -148,7 +149,7 @@
 	}
 	inForce := current
 	for _, next := range chain {
-		list, err := operatorsOf(ctx, inForce, parts, fetch)
+		list, err := fetchOperators(ctx, inForce, parts, fetch)
 		if err != nil {
 			return err
 		}
@@ -160,10 +161,10 @@
 	return nil
 }
 
-// anchored checks a first bundle: it must be signed as it demands itself, and
-// by as many operators that the settings name as these demand.
-func (r *Rollout) anchored(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) error {
-	list, err := operatorsOf(ctx, m, parts, fetch)
+// verifyFirst checks a first bundle: it must have the signatures that it
+// requires itself, and those that the trust anchors require.
+func (r *Rollout) verifyFirst(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) error {
+	list, err := fetchOperators(ctx, m, parts, fetch)
 	if err != nil {
 		return err
 	}
@@ -171,7 +172,7 @@
 		return err
 	}
 	if err := m.VerifySignatures(r.config.TrustAnchors); err != nil {
-		return trace.AccessDenied("bundle %d is not signed by the operators that this proxy's settings name: %v", m.Version, err)
+		return trace.AccessDenied("bundle %d is not signed by the operators in this proxy's settings: %v", m.Version, err)
 	}
 	return nil
 }
@@ -185,7 +186,7 @@
 			return chain, nil
 		}
 		if oldest.Version <= current.Version+1 {
-			return nil, trace.AccessDenied("bundle %d doesn't follow bundle %d, which is in force", m.Version, current.Version)
+			return nil, trace.AccessDenied("bundle %d is not a successor of bundle %d, which is in force", m.Version, current.Version)
 		}
 		text, err := fetch(ctx, oldest.Parent)
 		if err != nil {
@@ -193,22 +194,22 @@
 		}
 		parent, err := DecodeManifest(text)
 		if err != nil || parent.Digest() != oldest.Parent {
-			return nil, trace.BadParameter("the parent of bundle %d is damaged", oldest.Version)
+			return nil, trace.BadParameter("the parent manifest of bundle %d is invalid or does not match its digest", oldest.Version)
 		}
 		chain = slices.Insert(chain, 0, parent)
 	}
 	return nil, trace.LimitExceeded("bundle %d is more than %d versions ahead: restart the proxy", m.Version, maxAncestors)
 }
 
-func operatorsOf(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) (OperatorList, error) {
+func fetchOperators(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) (OperatorList, error) {
 	if err := fetchPart(ctx, m.Operators, parts, fetch); err != nil {
 		return OperatorList{}, err
 	}
 	return m.OperatorList(parts)
 }
 
-// gather fetches the parts that m names and that aren't there.
-func gather(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) error {
+// fetchMissing fetches the parts that m refers to and parts lacks.
+func fetchMissing(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) error {
 	for {
 		missing, err := m.MissingParts(parts)
 		if err != nil || len(missing) == 0 {
@@ -231,13 +232,13 @@
 		return err
 	}
 	if Digest(text) != digest {
-		return trace.BadParameter("part %s of the bundle is damaged", short(digest))
+		return trace.BadParameter("bundle part %s does not match its digest", shortDigest(digest))
 	}
 	parts[digest] = text
 	return nil
 }
 
-// FetchFromStore returns a Fetch that reads the platform's store.
+// FetchFromStore returns a FetchFunc that reads the platform's store.
 func FetchFromStore(store rosemary.Store) FetchFunc {
 	return func(ctx context.Context, digest string) (string, error) {
 		entry, err := store.Get(ctx, partPrefix+digest)
@@ -245,19 +246,19 @@
 	}
 }
 
-// ReadCurrent returns the text of the manifest in the store. Errors are
+// ReadCurrent returns the encoded manifest in the store. Errors are
 // trace.NotFound before the first bundle, and trace.ConnectionProblem.
 func ReadCurrent(ctx context.Context, store rosemary.Store) (string, error) {
 	entry, err := store.Get(ctx, currentKey)
 	return string(entry.Value), err
 }
 
-// WatchCurrent sends the text of the manifest in the store at each change.
+// WatchCurrent sends the entry of the manifest in the store at each change.
 func WatchCurrent(ctx context.Context, store rosemary.Store) (<-chan rosemary.Entry, error) {
 	return store.Watch(ctx, currentKey)
 }
 
-// Proposal is a signed manifest with its parts, as operators pass it around.
+// Proposal is a signed manifest with its parts, as operators exchange it.
 type Proposal struct {
 	Manifest Manifest
 	Parts    Parts
@@ -269,34 +270,34 @@
 	return string(text) + "\n"
 }
 
-// DecodeProposal reads what EncodeProposal writes.
+// DecodeProposal reads the format that EncodeProposal writes.
 func DecodeProposal(text string) (Proposal, error) {
 	var p Proposal
 	if err := json.Unmarshal([]byte(text), &p); err != nil {
-		return p, trace.BadParameter("not a bundle proposal; make one with rosemary bundle new: %v", err)
+		return p, trace.BadParameter("not a bundle proposal; create one with rosemary bundle new: %v", err)
 	}
 	for digest, part := range p.Parts {
 		if Digest(part) != digest {
-			return p, trace.BadParameter("part %s of the proposal is damaged; make it anew with rosemary bundle new", short(digest))
+			return p, trace.BadParameter("part %s of the proposal does not match its digest; create the proposal again with rosemary bundle new", shortDigest(digest))
 		}
 	}
 	return p, nil
 }
 
-// ConflictError tells an operator that another bundle was accepted first.
+// ConflictError reports that another bundle was accepted first.
 type ConflictError struct {
 	Accepted Manifest
 }
 
-// Error names the winner and the remedy.
+// Error names the accepted bundle and the remedy.
 func (e *ConflictError) Error() string {
-	return "bundle " + e.Accepted.String() + " was accepted first; make the change anew on top of it: rosemary bundle new, sign, propose"
+	return "bundle " + e.Accepted.String() + " was accepted first; redo the change on top of it: rosemary bundle new, sign, propose"
 }
 
-// Propose makes the proposal the bundle in force by compare-and-swap from its
-// parent. A lost answer is made up for by reading back. Errors are
-// *RacedError, trace.AccessDenied, *FaultsError and trace.ConnectionProblem,
-// after which the same proposal may be made again.
+// Propose puts the proposal into the store by compare-and-swap on its parent.
+// If the answer is lost, the outcome is read back. Errors are *ConflictError,
+// trace.AccessDenied, *ValidationError and trace.ConnectionProblem, after which
+// the same proposal can be submitted again.
 func Propose(ctx context.Context, store rosemary.Store, p Proposal) error {
 	content, err := p.Manifest.Content(p.Parts)
 	if err != nil {
@@ -306,17 +307,17 @@
 	if err != nil && !trace.IsNotFound(err) {
 		return err
 	}
-	current, parts, err := readAccepted(ctx, store, entry)
+	current, parts, err := readManifest(ctx, store, entry)
 	if err != nil {
 		return err
 	}
 	if current.Version > 0 && current.Digest() == p.Manifest.Digest() {
 		return nil
 	}
-	if err := mayFollow(p, content, current, parts); err != nil {
+	if err := checkSuccessor(p, content, current, parts); err != nil {
 		return err
 	}
-	if err := upload(ctx, store, p, parts); err != nil {
+	if err := uploadParts(ctx, store, p, parts); err != nil {
 		return err
 	}
 	written, err := store.CompareAndSwap(ctx, currentKey, entry.Revision, []byte(p.Manifest.Encode()))
@@ -326,8 +327,8 @@
 	return readBack(ctx, store, p, err)
 }
 
-// readAccepted returns the manifest of an entry and its parts.
-func readAccepted(ctx context.Context, store rosemary.Store, entry rosemary.Entry) (Manifest, Parts, error) {
+// readManifest decodes the manifest of a store entry and fetches its parts.
+func readManifest(ctx context.Context, store rosemary.Store, entry rosemary.Entry) (Manifest, Parts, error) {
 	parts := make(Parts)
 	if entry.Revision == 0 {
 		return Manifest{}, parts, nil
@@ -336,11 +337,11 @@
 	if err != nil {
 		return m, parts, err
 	}
-	return m, parts, gather(ctx, m, parts, FetchFromStore(store))
+	return m, parts, fetchMissing(ctx, m, parts, FetchFromStore(store))
 }
 
-// mayFollow checks that a proposal is the next version after current.
-func mayFollow(p Proposal, content *Content, current Manifest, parts Parts) error {
+// checkSuccessor checks that a proposal is a valid next version after current.
+func checkSuccessor(p Proposal, content *Content, current Manifest, parts Parts) error {
 	list := OperatorList{content.Operators, content.Signatures}
 	if current.Version > 0 {
 		if p.Manifest.Parent != current.Digest() || p.Manifest.Version != current.Version+1 {
@@ -350,57 +351,58 @@
 		if list, err = current.OperatorList(parts); err != nil {
 			return err
 		}
-		now, err := current.Content(parts)
+		currentContent, err := current.Content(parts)
 		if err != nil {
 			return err
 		}
-		if faults := CheckChange(now, content); len(faults) > 0 {
+		if faults := CheckChange(currentContent, content); len(faults) > 0 {
 			return &ValidationError{Faults: faults}
 		}
 	} else if p.Manifest.Version != 1 || p.Manifest.Parent != "" {
-		return trace.BadParameter("there is no bundle yet: the first one is version 1; make it with rosemary bundle new -first")
+		return trace.BadParameter("there is no bundle yet, and the first one must be version 1; create it with rosemary bundle new -first")
 	}
 	return p.Manifest.VerifySignatures(list)
 }
 
-// upload writes the parts that the store lacks, and the manifest by digest.
-func upload(ctx context.Context, store rosemary.Store, p Proposal, known Parts) error {
-	parts := p.Manifest.used(p.Parts)
+// uploadParts writes the parts that the store lacks, and the manifest under its
+// digest.
+func uploadParts(ctx context.Context, store rosemary.Store, p Proposal, stored Parts) error {
+	parts := p.Manifest.referencedParts(p.Parts)
 	parts[p.Manifest.Digest()] = p.Manifest.Encode()
 	for digest, text := range parts {
-		if _, there := known[digest]; there {
+		if _, found := stored[digest]; found {
 			continue
 		}
 		if _, err := store.CompareAndSwap(ctx, partPrefix+digest, 0, []byte(text)); err != nil {
-			return trace.Wrap(err, "upload part %s; propose again", short(digest))
+			return trace.Wrap(err, "upload bundle part %s; propose the bundle again", shortDigest(digest))
 		}
 	}
 	return nil
 }
 
-// readBack finds out what became of a swap that failed or got no answer.
+// readBack determines the outcome of a swap that failed or got no answer.
 func readBack(ctx context.Context, store rosemary.Store, p Proposal, cause error) error {
 	entry, err := store.Get(ctx, currentKey)
 	if err != nil {
-		return trace.ConnectionProblem(cause, "the store did not tell whether the bundle was accepted; propose it again")
+		return trace.ConnectionProblem(cause, "the store did not confirm whether the bundle was accepted; propose it again")
 	}
-	winner, err := DecodeManifest(string(entry.Value))
+	accepted, err := DecodeManifest(string(entry.Value))
 	if err != nil {
 		return err
 	}
 	switch {
-	case winner.Digest() == p.Manifest.Digest(), winner.Parent == p.Manifest.Digest():
+	case accepted.Digest() == p.Manifest.Digest(), accepted.Parent == p.Manifest.Digest():
 		return nil
-	case winner.Version >= p.Manifest.Version:
-		return &ConflictError{Accepted: winner}
+	case accepted.Version >= p.Manifest.Version:
+		return &ConflictError{Accepted: accepted}
 	}
 	return trace.ConnectionProblem(cause, "the bundle was not accepted; propose it again")
 }
 
-// ReadContent returns what the manifest names, from the store.
+// ReadContent returns the content of a manifest, with its parts from the store.
 func ReadContent(ctx context.Context, store rosemary.Store, m Manifest) (*Content, error) {
 	parts := make(Parts)
-	if err := gather(ctx, m, parts, FetchFromStore(store)); err != nil {
+	if err := fetchMissing(ctx, m, parts, FetchFromStore(store)); err != nil {
 		return nil, err
 	}
 	return m.Content(parts)
--- a/pkg/rosebundle/rollout_test.go
+++ b/pkg/rosebundle/rollout_test.go
@@ -15,12 +15,13 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// memoryStore is a store that can lose answers.
+// memoryStore is an in-memory store that can lose answers.
 type memoryStore struct {
 	entries  map[string]rosemary.Entry
 	revision int64
-	// lose is the number of swaps whose answer is lost after their effect.
-	lose int
+	// lostAnswers is the number of swaps whose answer is lost after they took
+	// effect.
+	lostAnswers int
 }
 
 func (s *memoryStore) Get(_ context.Context, key string) (rosemary.Entry, error) {
@@ -37,8 +38,8 @@
 	}
 	s.revision++
 	s.entries[key] = rosemary.Entry{Value: value, Revision: s.revision}
-	if key == "Bundle/Current" && s.lose > 0 {
-		s.lose--
+	if key == "Bundle/Current" && s.lostAnswers > 0 {
+		s.lostAnswers--
 		return false, trace.ConnectionProblem(nil, "no answer")
 	}
 	return true, nil
@@ -84,27 +85,27 @@
 	first := proposal(content(1, "ana", "luis"), rosebundle.Manifest{}, "ana", "luis")
 	c.Check(trace.IsAccessDenied(rosebundle.Propose(ctx, store, proposal(content(1, "ana", "luis"), rosebundle.Manifest{}, "ana"))), qt.IsTrue)
 	c.Assert(rosebundle.Propose(ctx, store, first), qt.IsNil)
-	c.Assert(rosebundle.Propose(ctx, store, first), qt.IsNil, qt.Commentf("again"))
+	c.Assert(rosebundle.Propose(ctx, store, first), qt.IsNil, qt.Commentf("same proposal again"))
 
-	store.lose = 1
-	winner := proposal(content(2, "ana", "luis"), first.Manifest, "ana", "luis")
-	c.Assert(rosebundle.Propose(ctx, store, winner), qt.IsNil, qt.Commentf("with its answer lost"))
-	var raced *rosebundle.ConflictError
+	store.lostAnswers = 1
+	accepted := proposal(content(2, "ana", "luis"), first.Manifest, "ana", "luis")
+	c.Assert(rosebundle.Propose(ctx, store, accepted), qt.IsNil, qt.Commentf("answer lost"))
+	var conflict *rosebundle.ConflictError
 	err := rosebundle.Propose(ctx, store, proposal(content(3, "ana", "luis"), first.Manifest, "ana", "luis"))
-	c.Assert(errors.As(err, &raced), qt.IsTrue)
-	c.Check(raced.Accepted.Digest(), qt.Equals, winner.Manifest.Digest())
+	c.Assert(errors.As(err, &conflict), qt.IsTrue)
+	c.Check(conflict.Accepted.Digest(), qt.Equals, accepted.Manifest.Digest())
 
-	gone := content(2, "ana", "luis")
-	gone.Databases[0].Targets[2].ID = "another"
-	err = rosebundle.Propose(ctx, store, proposal(gone, winner.Manifest, "ana", "luis"))
-	c.Check(err, qt.ErrorMatches, `.*goes without having been leaving.*`)
+	replaced := content(2, "ana", "luis")
+	replaced.Databases[0].Targets[2].ID = "another"
+	err = rosebundle.Propose(ctx, store, proposal(replaced, accepted.Manifest, "ana", "luis"))
+	c.Check(err, qt.ErrorMatches, `.*is removed without having been marked as leaving.*`)
 }
 
 func TestOnlyNewerSignedBundlesComeIntoForce(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
 	parts := make(rosebundle.Parts)
-	add := func(p rosebundle.Proposal) string {
+	store := func(p rosebundle.Proposal) string {
 		for digest, text := range p.Parts {
 			parts[digest] = text
 		}
@@ -121,14 +122,14 @@
 	v2 := proposal(content(2, "ana", "eva"), v1.Manifest, "ana", "luis")
 	v3 := proposal(content(3, "ana", "eva"), v2.Manifest, "ana", "eva")
 	forged := proposal(content(4, "mallory"), v3.Manifest, "mallory")
-	half := proposal(content(4, "ana", "eva"), v3.Manifest, "ana")
+	partlySigned := proposal(content(4, "ana", "eva"), v3.Manifest, "ana")
 	tampered := proposal(content(4, "ana", "eva"), v3.Manifest, "ana", "eva")
 	tampered.Manifest.Pages[0] = v1.Manifest.Pages[0]
-	stranger := proposal(content(9, "mallory"), rosebundle.Manifest{}, "mallory")
-	for _, p := range []rosebundle.Proposal{v1, v2, v3, forged, half, tampered, stranger} {
-		add(p)
+	unknownOperator := proposal(content(9, "mallory"), rosebundle.Manifest{}, "mallory")
+	for _, p := range []rosebundle.Proposal{v1, v2, v3, forged, partlySigned, tampered, unknownOperator} {
+		store(p)
 	}
-	take := func(anchors []string, texts ...string) string {
+	appliedVersions := func(anchors []string, texts ...string) string {
 		var versions []uint64
 		list := rosebundle.OperatorList{Signatures: len(anchors)}
 		for _, name := range anchors {
@@ -143,23 +144,23 @@
 		}
 		return fmt.Sprint(versions)
 	}
-	e := func(p rosebundle.Proposal) string { return p.Manifest.Encode() }
+	encode := func(p rosebundle.Proposal) string { return p.Manifest.Encode() }
 	for _, test := range []struct {
 		name    string
 		anchors []string
 		texts   []string
 		want    string
 	}{
-		{"in order", []string{"ana", "luis"}, []string{e(v1), e(v2), e(v3)}, "[1 2 3]"},
-		{"over a change of operators", []string{"ana", "luis"}, []string{e(v1), e(v3)}, "[1 3]"},
-		{"older after newer", []string{"ana", "luis"}, []string{e(v1), e(v2), e(v1)}, "[1 2]"},
-		{"forged", []string{"ana", "luis"}, []string{e(v1), e(v3), e(forged)}, "[1 3]"},
-		{"half signed", []string{"ana", "luis"}, []string{e(v1), e(v3), e(half)}, "[1 3]"},
-		{"tampered", []string{"ana", "luis"}, []string{e(v1), e(v3), e(tampered)}, "[1 3]"},
-		{"first by strangers", []string{"ana", "luis"}, []string{e(stranger)}, "[]"},
-		{"first with newer operators", []string{"ana"}, []string{e(v3)}, "[3]"},
-		{"no manifest", []string{"ana"}, []string{"{"}, "[]"},
+		{"in order", []string{"ana", "luis"}, []string{encode(v1), encode(v2), encode(v3)}, "[1 2 3]"},
+		{"across a change of operators", []string{"ana", "luis"}, []string{encode(v1), encode(v3)}, "[1 3]"},
+		{"older after newer", []string{"ana", "luis"}, []string{encode(v1), encode(v2), encode(v1)}, "[1 2]"},
+		{"forged", []string{"ana", "luis"}, []string{encode(v1), encode(v3), encode(forged)}, "[1 3]"},
+		{"partly signed", []string{"ana", "luis"}, []string{encode(v1), encode(v3), encode(partlySigned)}, "[1 3]"},
+		{"tampered", []string{"ana", "luis"}, []string{encode(v1), encode(v3), encode(tampered)}, "[1 3]"},
+		{"first by unknown operator", []string{"ana", "luis"}, []string{encode(unknownOperator)}, "[]"},
+		{"first with newer operators", []string{"ana"}, []string{encode(v3)}, "[3]"},
+		{"not a manifest", []string{"ana"}, []string{"{"}, "[]"},
 	} {
-		c.Check(take(test.anchors, test.texts...), qt.Equals, test.want, qt.Commentf("%s", test.name))
+		c.Check(appliedVersions(test.anchors, test.texts...), qt.Equals, test.want, qt.Commentf("%s", test.name))
 	}
 }
