--- a/pkg/rosestore/gateway.go
+++ b/pkg/rosestore/gateway.go
@@ -1,5 +1,6 @@
-// Package rosestore speaks to the platform's key-value service through etcd
-// v3's HTTP and JSON gateway: range, txn and watch.
+// Package rosestore implements clients of the platform's HTTP services: the
+// key-value store, by range, txn and watch of etcd v3's JSON gateway, and the
+// list of VMs.
 package rosestore
 
 import (
@@ -17,21 +18,21 @@
 )
 
 const (
-	// maxAnswerBytes bounds one answer; values have up to a megabyte.
-	maxAnswerBytes = 4 << 20
-	// callTimeout bounds a call whose context has no nearer deadline.
+	// maxResponseBytes bounds a response; values have up to a megabyte.
+	maxResponseBytes = 4 << 20
+	// callTimeout bounds a call whose context has no earlier deadline.
 	callTimeout = 2 * time.Second
-	// watchSilence ends a watch that has carried nothing, not even the
-	// service's progress notes, for this long.
-	watchSilence = 30 * time.Second
+	// watchIdleTimeout ends a watch on which nothing was received for this
+	// long, not even progress notifications.
+	watchIdleTimeout = 30 * time.Second
 )
 
-// Config sets up a Client.
+// Config configures a Client.
 type Config struct {
 	// Address is the host:port of the gateway.
 	Address string
 	Dialer  rosemary.Dialer
-	// Prefix is put before every key.
+	// Prefix is prepended to every key.
 	Prefix string
 }
 
@@ -59,8 +60,8 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// keyValue is a key and its value as the gateway writes them: base64 text for
-// bytes and decimal text for 64-bit numbers.
+// keyValue is a key and its value as encoded by the gateway: bytes in base64,
+// and 64-bit numbers as decimal text.
 type keyValue struct {
 	Key         []byte `json:"key"`
 	Value       []byte `json:"value"`
@@ -125,40 +126,41 @@
 // Get returns the newest value of key. Errors are trace.NotFound and
 // trace.ConnectionProblem.
 func (c *Client) Get(ctx context.Context, key string) (rosemary.Entry, error) {
-	var answer rangeResponse
-	if err := c.call(ctx, "/v3/kv/range", rangeRequest{Key: c.key(key)}, &answer); err != nil {
+	var response rangeResponse
+	if err := c.call(ctx, "/v3/kv/range", rangeRequest{Key: c.prefixedKey(key)}, &response); err != nil {
 		return rosemary.Entry{}, err
 	}
-	if len(answer.KVs) == 0 {
+	if len(response.KVs) == 0 {
 		return rosemary.Entry{}, trace.NotFound("the store has no key %q", key)
 	}
-	return rosemary.Entry{Value: answer.KVs[0].Value, Revision: answer.KVs[0].ModRevision}, nil
+	return rosemary.Entry{Value: response.KVs[0].Value, Revision: response.KVs[0].ModRevision}, nil
 }
 
-// CompareAndSwap writes value if key is still at revision, zero for absent.
-// After an error the write may have taken effect.
+// CompareAndSwap writes value if key is still at revision; zero means that key
+// is absent. After an error the write may have taken effect.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, revision int64, value []byte) (bool, error) {
 	request := txnRequest{
 		Compare: []compare{{
-			Key:         c.key(key),
+			Key:         c.prefixedKey(key),
 			Target:      "MOD",
 			Result:      "EQUAL",
 			ModRevision: strconv.FormatInt(revision, 10),
 		}},
-		Success: []requestOp{{RequestPut: &putRequest{Key: c.key(key), Value: value}}},
+		Success: []requestOp{{RequestPut: &putRequest{Key: c.prefixedKey(key), Value: value}}},
 	}
-	var answer txnResponse
-	if err := c.call(ctx, "/v3/kv/txn", request, &answer); err != nil {
+	var response txnResponse
+	if err := c.call(ctx, "/v3/kv/txn", request, &response); err != nil {
 		return false, err
 	}
-	return answer.Succeeded, nil
+	return response.Succeeded, nil
 }
 
-// Watch sends the entry of key at each change. The channel closes when ctx
-// ends, the connection fails, or the service has been silent for long.
+// Watch sends the entry of key at each change, except deletions. The channel
+// closes when ctx ends, the connection fails, or nothing is received for
+// watchIdleTimeout.
 func (c *Client) Watch(ctx context.Context, key string) (<-chan rosemary.Entry, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	body, err := json.Marshal(watchRequest{CreateRequest: watchCreate{Key: c.key(key), ProgressNotify: true}})
+	body, err := json.Marshal(watchRequest{CreateRequest: watchCreate{Key: c.prefixedKey(key), ProgressNotify: true}})
 	if err != nil {
 		cancel()
 		return nil, trace.Wrap(err)
@@ -173,21 +175,22 @@
 		defer cancel()
 		defer close(entries)
 		defer response.Body.Close()
-		follow(ctx, cancel, json.NewDecoder(response.Body), entries)
+		forwardEvents(ctx, cancel, json.NewDecoder(response.Body), entries)
 	}()
 	return entries, nil
 }
 
-// follow passes on events until the stream ends or falls silent.
-func follow(ctx context.Context, cancel context.CancelFunc, stream *json.Decoder, entries chan<- rosemary.Entry) {
-	silence := time.AfterFunc(watchSilence, cancel)
-	defer silence.Stop()
+// forwardEvents forwards events until the stream ends or stays idle for
+// watchIdleTimeout.
+func forwardEvents(ctx context.Context, cancel context.CancelFunc, stream *json.Decoder, entries chan<- rosemary.Entry) {
+	idleTimer := time.AfterFunc(watchIdleTimeout, cancel)
+	defer idleTimer.Stop()
 	for {
 		var message watchResponse
 		if err := stream.Decode(&message); err != nil {
 			return
 		}
-		silence.Reset(watchSilence)
+		idleTimer.Reset(watchIdleTimeout)
 		for _, event := range message.Result.Events {
 			if event.Type == "DELETE" {
 				continue
@@ -201,9 +204,9 @@
 	}
 }
 
-func (c *Client) key(key string) []byte { return []byte(c.config.Prefix + key) }
+func (c *Client) prefixedKey(key string) []byte { return []byte(c.config.Prefix + key) }
 
-func (c *Client) call(ctx context.Context, path string, request, answer any) error {
+func (c *Client) call(ctx context.Context, path string, request, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	body, err := json.Marshal(request)
@@ -215,9 +218,9 @@
 		return err
 	}
 	defer response.Body.Close()
-	limited := http.MaxBytesReader(nil, response.Body, maxAnswerBytes)
-	if err := json.NewDecoder(limited).Decode(answer); err != nil {
-		return trace.ConnectionProblem(err, "the store's answer to %s was cut off", path)
+	limited := http.MaxBytesReader(nil, response.Body, maxResponseBytes)
+	if err := json.NewDecoder(limited).Decode(result); err != nil {
+		return trace.ConnectionProblem(err, "the store's response to %s is truncated or not valid JSON", path)
 	}
 	return nil
 }
@@ -230,11 +233,11 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "call the store at %s", c.config.Address)
+		return nil, trace.ConnectionProblem(err, "request to the store at %s failed", c.config.Address)
 	}
 	if response.StatusCode != http.StatusOK {
 		response.Body.Close()
-		return nil, trace.ConnectionProblem(nil, "the store answered %s to %s", response.Status, path)
+		return nil, trace.ConnectionProblem(nil, "the store responded %s to %s", response.Status, path)
 	}
 	return response, nil
 }
--- a/pkg/rosestore/roster.go
+++ b/pkg/rosestore/roster.go
@@ -17,35 +17,35 @@
 
 var _ rosemary.MemberSource = (*MemberSource)(nil)
 
-// NewMemberSource returns a roster at the client's address.
+// NewMemberSource returns a member source at the client's address.
 func NewMemberSource(client *Client) *MemberSource { return &MemberSource{client: client} }
 
-// listed is a VM as the platform writes it.
-type listed struct {
+// listedVM is a VM as encoded by the platform.
+type listedVM struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
 	Leaving bool   `json:"leaving"`
 }
 
-// Members returns the list as the platform knows it now. The error is a
-// trace.ConnectionProblem.
-func (r *MemberSource) Members(ctx context.Context) ([]rosemary.Member, error) {
+// Members returns the platform's list, which may lag behind the VMs. The error
+// is a trace.ConnectionProblem.
+func (s *MemberSource) Members(ctx context.Context) ([]rosemary.Member, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.client.config.Address+"/vms", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.client.config.Address+"/vms", nil)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	response, err := r.client.http.Do(request)
+	response, err := s.client.http.Do(request)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "read the VM list")
+		return nil, trace.ConnectionProblem(err, "request for the VM list failed")
 	}
 	defer response.Body.Close()
-	var list []listed
-	limited := http.MaxBytesReader(nil, response.Body, maxAnswerBytes)
+	var list []listedVM
+	limited := http.MaxBytesReader(nil, response.Body, maxResponseBytes)
 	if err := json.NewDecoder(limited).Decode(&list); err != nil {
-		return nil, trace.ConnectionProblem(err, "the VM list was cut off")
+		return nil, trace.ConnectionProblem(err, "the VM list is truncated or not valid JSON")
 	}
 	members := make([]rosemary.Member, len(list))
 	for i, l := range list {
