--- a/internal/rosefront/caller.go
+++ b/internal/rosefront/caller.go
@@ -196,7 +196,7 @@
 func (c *caller) serve(b *batch) {
 	started := time.Now()
 	r := newRequest(c, b)
-	ctx, cancel := context.WithTimeout(context.Background(), r.class.Deadline)
+	ctx, cancel := context.WithTimeout(context.Background(), r.class.Timeout)
 	defer cancel()
 	err := c.server.chain(ctx, r)
 	if err != nil {
--- a/internal/rosefront/handshake.go
+++ b/internal/rosefront/handshake.go
@@ -187,7 +187,7 @@
 
 func quote(text string) string { return `"` + text + `"` }
 
-func refuse(kind rosemary.Kind, message, remedy string) *rosemary.Refusal {
+func refuse(kind rosemary.RefusalKind, message, remedy string) *rosemary.Refusal {
 	return &rosemary.Refusal{Kind: kind, Outcome: rosemary.OutcomeNotRun, Message: message, Remedy: remedy}
 }
 
--- a/internal/rosefront/request.go
+++ b/internal/rosefront/request.go
@@ -116,8 +116,8 @@
 	if !found {
 		return standard, unknownClass(name)
 	}
-	if class.Deadline <= 0 {
-		class.Deadline = standard.Deadline
+	if class.Timeout <= 0 {
+		class.Timeout = standard.Timeout
 	}
 	return class, nil
 }
--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -26,7 +26,7 @@
 	Self rosemary.Member
 	// Incarnation tells the starts of this proxy apart.
 	Incarnation    string
-	Store          rosemary.KeyValue
+	Store          rosemary.MetadataStore
 	Targets        rosemary.TargetSource
 	Configurations rosemary.ConfigurationSource
 	Promoter       rosemary.Promoter
--- a/pkg/rosebundle/content.go
+++ b/pkg/rosebundle/content.go
@@ -103,7 +103,7 @@
 				ReadOnly:   class.ReadOnly,
 				MaxAge:     time.Duration(class.MaxAge),
 				Idempotent: class.Idempotent,
-				Deadline:   time.Duration(class.Deadline),
+				Timeout:    time.Duration(class.Deadline),
 				Weight:     class.Weight,
 			}, true
 		}
--- a/pkg/rosecaller/refusal.go
+++ b/pkg/rosecaller/refusal.go
@@ -11,7 +11,7 @@
 // target was available. It is about as long as the last steps of a promotion.
 const noTargetRetryDelay = 200 * time.Millisecond
 
-func refuse(kind rosemary.Kind, outcome rosemary.Outcome, message, remedy string, after time.Duration) *rosemary.Refusal {
+func refuse(kind rosemary.RefusalKind, outcome rosemary.Outcome, message, remedy string, after time.Duration) *rosemary.Refusal {
 	return &rosemary.Refusal{Kind: kind, Outcome: outcome, Message: message, Remedy: remedy, RetryAfter: after}
 }
 
--- a/pkg/rosecaller/session.go
+++ b/pkg/rosecaller/session.go
@@ -184,7 +184,7 @@
 	}
 	started := time.Now()
 	task.Statement, task.Route, task.ReadOnly = statement, s.route, s.readOnly
-	task.Deadline, task.SoftDeadline = started.Add(s.route.Class.Deadline-answerMargin), started.Add(s.route.LatencyObjective)
+	task.Deadline, task.SoftDeadline = started.Add(s.route.Class.Timeout-answerMargin), started.Add(s.route.LatencyObjective)
 	result := s.execute(ctx, task)
 	if result.Refusal == nil && result.Answer.Failure == rosemary.FailureNone {
 		s.config.Observer.Served(task, result, time.Since(started))
--- a/pkg/rosecaller/session_test.go
+++ b/pkg/rosecaller/session_test.go
@@ -45,7 +45,7 @@
 
 // Route knows the database "db" only.
 func (e *executor) Route(database string) (rosemary.Route, bool) {
-	return rosemary.Route{Database: database, Group: "g", LatencyObjective: 100 * time.Millisecond, Class: rosemary.Class{Name: "own", Deadline: time.Second}}, database == "db"
+	return rosemary.Route{Database: database, Group: "g", LatencyObjective: 100 * time.Millisecond, Class: rosemary.Class{Name: "own", Timeout: time.Second}}, database == "db"
 }
 
 // TransactionIdleTimeout returns one second.
--- a/pkg/rosemary/group.go
+++ b/pkg/rosemary/group.go
@@ -62,7 +62,7 @@
 	// Idempotent allows the statement to be retried after a failure.
 	Idempotent bool
 	// Deadline bounds the response time.
-	Deadline time.Duration
+	Timeout time.Duration
 	// Weight is the scheduling weight of the class within its tenant.
 	Weight int
 }
@@ -81,5 +81,5 @@
 
 // DefaultClass returns the class of statements that name none.
 func DefaultClass(deadline time.Duration) Class {
-	return Class{Name: "default", Deadline: deadline, Weight: 1}
+	return Class{Name: "default", Timeout: deadline, Weight: 1}
 }
--- a/pkg/rosemary/keyvalue.go
+++ b/pkg/rosemary/keyvalue.go
@@ -42,11 +42,11 @@
 	Deletes []string
 }
 
-// KeyValue is the platform's key-value store with ranges, leases and
+// MetadataStore is the platform's key-value store with ranges, leases and
 // transactions. A failed call may still have taken effect, so callers have to
 // read the keys back. The error is a trace.ConnectionProblem if the store
 // can't be reached or rejects the call.
-type KeyValue interface {
+type MetadataStore interface {
 	// Read returns the latest value of key, or trace.NotFound.
 	Read(ctx context.Context, key string) (Item, error)
 	// List returns the keys with the prefix and the store's revision. With
--- a/pkg/rosemary/refusal.go
+++ b/pkg/rosemary/refusal.go
@@ -16,32 +16,32 @@
 	OutcomeRan     Outcome = "ran"
 )
 
-// Kind classifies refusals by their reason.
-type Kind string
+// RefusalKind classifies refusals by their reason.
+type RefusalKind string
 
 // Kinds of refusal.
 const (
-	KindOverloaded       Kind = "overloaded"
-	KindDeadline         Kind = "deadline"
-	KindNoPrimary        Kind = "no-primary"
-	KindNoReplica        Kind = "no-replica"
-	KindUnconfirmed      Kind = "unconfirmed"
-	KindConnectionLost   Kind = "connection-lost"
-	KindDraining         Kind = "draining"
-	KindUnsupported      Kind = "unsupported"
-	KindUnknownClass     Kind = "unknown-class"
-	KindBadToken         Kind = "bad-token"
-	KindDuplicateRequest Kind = "duplicate-request"
-	KindAuthentication   Kind = "authentication"
-	KindUnknownDatabase  Kind = "unknown-database"
-	KindProtocol         Kind = "protocol"
-	KindReadOnlyClass    Kind = "read-only-class"
-	KindAborted          Kind = "aborted"
-	KindUnknownStatement Kind = "unknown-statement"
+	KindOverloaded       RefusalKind = "overloaded"
+	KindDeadline         RefusalKind = "deadline"
+	KindNoPrimary        RefusalKind = "no-primary"
+	KindNoReplica        RefusalKind = "no-replica"
+	KindUnconfirmed      RefusalKind = "unconfirmed"
+	KindConnectionLost   RefusalKind = "connection-lost"
+	KindDraining         RefusalKind = "draining"
+	KindUnsupported      RefusalKind = "unsupported"
+	KindUnknownClass     RefusalKind = "unknown-class"
+	KindBadToken         RefusalKind = "bad-token"
+	KindDuplicateRequest RefusalKind = "duplicate-request"
+	KindAuthentication   RefusalKind = "authentication"
+	KindUnknownDatabase  RefusalKind = "unknown-database"
+	KindProtocol         RefusalKind = "protocol"
+	KindReadOnlyClass    RefusalKind = "read-only-class"
+	KindAborted          RefusalKind = "aborted"
+	KindUnknownStatement RefusalKind = "unknown-statement"
 )
 
 // sqlStates maps kinds of refusal to the SQLSTATE codes sent to callers.
-var sqlStates = map[Kind]string{
+var sqlStates = map[RefusalKind]string{
 	KindOverloaded:       "53000",
 	KindDeadline:         "57014",
 	KindNoPrimary:        "57P03",
@@ -63,7 +63,7 @@
 
 // Refusal is the error that the proxy returns to a caller.
 type Refusal struct {
-	Kind    Kind
+	Kind    RefusalKind
 	Outcome Outcome
 	Message string
 	// Remedy tells the caller what to do next.
--- a/pkg/roserelay/codec.go
+++ b/pkg/roserelay/codec.go
@@ -164,7 +164,7 @@
 	}
 	if r.Refusal != nil {
 		result.Refusal = &rosemary.Refusal{
-			Kind: rosemary.Kind(r.Refusal.Kind), Outcome: rosemary.Outcome(r.Refusal.Outcome), Message: r.Refusal.Message,
+			Kind: rosemary.RefusalKind(r.Refusal.Kind), Outcome: rosemary.Outcome(r.Refusal.Outcome), Message: r.Refusal.Message,
 			Remedy: r.Refusal.Remedy, RetryAfter: time.Duration(orZero(r.Refusal.RetryAfterMs)) * time.Millisecond,
 		}
 	}
--- a/pkg/roseroute/router.go
+++ b/pkg/roseroute/router.go
@@ -269,7 +269,7 @@
 	return refusal(rosemary.KindNoPrimary, "no primary could be reached before the deadline", 0)
 }
 
-func refusal(kind rosemary.Kind, message string, retryAfter time.Duration) error {
+func refusal(kind rosemary.RefusalKind, message string, retryAfter time.Duration) error {
 	return &rosemary.Refusal{
 		Kind:       kind,
 		Outcome:    rosemary.OutcomeNotRun,
--- a/pkg/rosesupervisor/duty.go
+++ b/pkg/rosesupervisor/duty.go
@@ -69,7 +69,7 @@
 
 // LockManagerConfig configures a LockManager.
 type LockManagerConfig struct {
-	Store rosemary.KeyValue
+	Store rosemary.MetadataStore
 	// Clock has to advance while the VM is suspended.
 	Clock roseclock.Clock
 	Self  rosemary.Member
