--- a/internal/rosenode/peers.go
+++ b/internal/rosenode/peers.go
@@ -252,7 +252,7 @@
 }
 
 // Abstain asks all not to claim duties, and returns those that promised.
-func (p peers) Abstain(ctx context.Context) []rosemary.ProxyID {
+func (p peers) RequestAbstention(ctx context.Context) []rosemary.ProxyID {
 	replies, _ := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutAbstain})
 	return agreeing(replies)
 }
@@ -273,7 +273,7 @@
 }
 
 // Stop has all give up relying on the primary of term.
-func (p peers) StopUsingPrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID) {
+func (p peers) RevokePrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID) {
 	replies, asked := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutPrimaryRevoked, Group: group, Term: term})
 	return agreeing(replies), asked
 }
--- a/pkg/rosesupervisor/duty.go
+++ b/pkg/rosesupervisor/duty.go
@@ -93,7 +93,7 @@
 type Peers interface {
 	// Abstain asks all not to claim locks for abstainDuration, and returns
 	// those that promised it.
-	Abstain(ctx context.Context) []rosemary.ProxyID
+	RequestAbstention(ctx context.Context) []rosemary.ProxyID
 }
 
 // LockManager keeps this proxy registered in the store, and holds the failover
@@ -240,7 +240,7 @@
 	sentAt := l.config.Clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, abstainTimeout)
 	defer cancel()
-	promised := l.config.Peers.Abstain(ctx)
+	promised := l.config.Peers.RequestAbstention(ctx)
 	for _, m := range members {
 		if m.Proxy != l.config.Self.Proxy && !slices.Contains(promised, m.Proxy) {
 			klog.V(1).InfoS("duty not extended", "withoutThePromiseOf", m.Proxy)
--- a/pkg/rosesupervisor/replace.go
+++ b/pkg/rosesupervisor/replace.go
@@ -90,7 +90,7 @@
 	PollReachability(ctx context.Context, group string, target rosemary.TargetID) (replied, reach, miss int)
 	// StopUsingPrimary asks all to stop using the primary of term. It returns
 	// those that have, and all that were asked.
-	StopUsingPrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID)
+	RevokePrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID)
 	// Suspect tells all that the target has just failed to answer this proxy, so
 	// that they sample it at once.
 	Suspect(ctx context.Context, group string, target rosemary.TargetID)
@@ -398,7 +398,7 @@
 	if err != nil {
 		return false
 	}
-	stopped, asked := r.config.Voters.StopUsingPrimary(ctx, r.config.Group.Name(), term)
+	stopped, asked := r.config.Voters.RevokePrimary(ctx, r.config.Group.Name(), term)
 	for _, m := range members {
 		if m.Proxy != r.config.Self && !slices.Contains(stopped, m.Proxy) {
 			klog.InfoS("not all have stopped", "group", r.config.Group.Name(), "term", term, "missing", m.Proxy)
