--- a/internal/rosedaemon/backend.go
+++ b/internal/rosedaemon/backend.go
@@ -33,7 +33,7 @@
 // backend is everything that serves one database.
 type backend struct {
 	database rosebundle.Database
-	group    *rosegroup.Controller
+	group    *rosegroup.Monitor
 	pools    map[rosemary.TargetID]*rosepool.Pool
 	queues   map[rosemary.TargetID]*roseadmit.Queue
 	router   *roseroute.Router
@@ -74,7 +74,7 @@
 		controls[t.ID] = rosepool.NewControl(config)
 		probes[t.ID] = rosepool.NewCommander(b.pools[t.ID])
 	}
-	b.group = rosegroup.NewController(rosegroup.Config{
+	b.group = rosegroup.NewMonitor(rosegroup.Config{
 		Group:    group,
 		Controls: controls,
 		Probes:   probes,
--- a/internal/rosefront/handshake_test.go
+++ b/internal/rosefront/handshake_test.go
@@ -36,7 +36,7 @@
 func (directory) Class(string) (rosemary.Class, bool) { return rosemary.Class{}, false }
 
 func (directory) Router(database string) (*roseroute.Router, bool) {
-	group := rosegroup.NewController(rosegroup.Config{Group: rosemary.Group{Database: database}})
+	group := rosegroup.NewMonitor(rosegroup.Config{Group: rosemary.Group{Database: database}})
 	return roseroute.NewRouter(roseroute.Config{Group: group}), database == "db"
 }
 
--- a/pkg/rosecaller/run.go
+++ b/pkg/rosecaller/run.go
@@ -60,7 +60,7 @@
 		Priority:     j.task.Route.Priority,
 		Deadline:     a.deadline,
 		SoftDeadline: j.task.SoftDeadline,
-		Owner:        j.task.SessionID,
+		SessionID:    j.task.SessionID,
 		Avoid:        a.avoid,
 	}
 	class := j.task.Route.Class
--- a/pkg/rosefleet/lease.go
+++ b/pkg/rosefleet/lease.go
@@ -47,7 +47,7 @@
 	SoftDeadline time.Time
 	// Owner identifies the session, which preferably gets the connection that
 	// it used last.
-	Owner uint64
+	SessionID uint64
 	// Avoid is a target to use only if no other will do.
 	Avoid rosemary.TargetID
 }
@@ -200,7 +200,7 @@
 		}
 		lease.pooled = c
 	}
-	c.owner = request.Owner
+	c.owner = request.SessionID
 	if term > 0 && !lease.StillPrimary() {
 		e.pool.put(c)
 		return nil, nil
--- a/pkg/rosefleet/pool.go
+++ b/pkg/rosefleet/pool.go
@@ -89,7 +89,7 @@
 	}
 	if len(p.idle) > 0 {
 		p.queuedSince = time.Time{}
-		return p.popIdle(request.Owner), true, nil
+		return p.popIdle(request.SessionID), true, nil
 	}
 	if p.mayOpen(0) {
 		p.open++
--- a/pkg/rosegroup/controller.go
+++ b/pkg/rosegroup/controller.go
@@ -47,8 +47,8 @@
 	downThreshold = 2
 )
 
-// Controller monitors one group. Its methods may be called concurrently.
-type Controller struct {
+// Monitor monitors one group. Its methods may be called concurrently.
+type Monitor struct {
 	config Config
 
 	mu           sync.Mutex
@@ -74,15 +74,15 @@
 // Down reports whether the target counts as down.
 func (r Reachability) Down() bool { return r.Failures >= downThreshold }
 
-// NewController returns a controller; Run starts it.
-func NewController(config Config) *Controller {
+// NewMonitor returns a controller; Run starts it.
+func NewMonitor(config Config) *Monitor {
 	if config.WatchTimeout <= 0 {
 		config.WatchTimeout = defaultWatchTimeout
 	}
 	if config.OnChange == nil {
 		config.OnChange = func(Change) {}
 	}
-	return &Controller{
+	return &Monitor{
 		config:       config,
 		observations: NewObservations(config.Group, config.Leaving),
 		reachability: make(map[rosemary.TargetID]Reachability),
@@ -92,10 +92,10 @@
 }
 
 // Group returns the group that the controller monitors.
-func (c *Controller) Group() rosemary.Group { return c.config.Group }
+func (c *Monitor) Group() rosemary.Group { return c.config.Group }
 
 // Run watches every target until ctx ends.
-func (c *Controller) Run(ctx context.Context) error {
+func (c *Monitor) Run(ctx context.Context) error {
 	tasks, ctx := errgroup.WithContext(ctx)
 	for id, control := range c.config.Controls {
 		tasks.Go(func() error {
@@ -106,7 +106,7 @@
 	return tasks.Wait()
 }
 
-func (c *Controller) watch(ctx context.Context, id rosemary.TargetID, control rosemary.TargetControl) {
+func (c *Monitor) watch(ctx context.Context, id rosemary.TargetID, control rosemary.TargetControl) {
 	var known rosemary.Status
 	for ctx.Err() == nil {
 		sent := time.Now()
@@ -126,7 +126,7 @@
 	}
 }
 
-func (c *Controller) observeAnswer(id rosemary.TargetID) {
+func (c *Monitor) observeAnswer(id rosemary.TargetID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reachability[id].Failures > 0 || c.reachability[id].Since.IsZero() {
@@ -135,7 +135,7 @@
 	}
 }
 
-func (c *Controller) observeFailure(id rosemary.TargetID, err error) {
+func (c *Monitor) observeFailure(id rosemary.TargetID, err error) {
 	c.mu.Lock()
 	r := c.reachability[id]
 	if r.Failures == 0 {
@@ -158,7 +158,7 @@
 }
 
 // Observe records an observation made by this process or by a peer.
-func (c *Controller) Observe(observation Observation) {
+func (c *Monitor) Observe(observation Observation) {
 	c.mu.Lock()
 	isNew := c.observations.Add(observation)
 	if isNew {
@@ -176,13 +176,13 @@
 }
 
 // notifyChanged wakes the waiters. The lock must be held.
-func (c *Controller) notifyChanged() {
+func (c *Monitor) notifyChanged() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
 // Changed returns a channel that closes at the next change.
-func (c *Controller) Changed() <-chan struct{} {
+func (c *Monitor) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
@@ -216,7 +216,7 @@
 }
 
 // View returns a snapshot, and a channel that closes at the next change.
-func (c *Controller) View() (View, <-chan struct{}) {
+func (c *Monitor) View() (View, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -242,7 +242,7 @@
 }
 
 // Observations returns the newest observation of each target.
-func (c *Controller) Observations() []Observation {
+func (c *Monitor) Observations() []Observation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.observations.All()
@@ -250,10 +250,10 @@
 
 // AwaitConfirmation waits until the record at p is known to be confirmed or
 // lost. The error is that of ctx if it ends first.
-func (c *Controller) AwaitConfirmation(ctx context.Context, p rosemary.Position) (rosemary.RecordState, error) {
+func (c *Monitor) AwaitConfirmation(ctx context.Context, p rosemary.Position) (rosemary.RecordState, error) {
 	for {
 		c.mu.Lock()
-		state := c.observations.RecordStateAt(p)
+		state := c.observations.RecordState(p)
 		changed := c.changed
 		c.mu.Unlock()
 		if state != rosemary.RecordUnknown {
@@ -270,7 +270,7 @@
 // MinReadPosition returns a position at or after every write that was
 // acknowledged before since. It waits until a status of the primary was
 // requested after since and its term was in force after since.
-func (c *Controller) MinReadPosition(ctx context.Context, since time.Time) (rosemary.Position, error) {
+func (c *Monitor) MinReadPosition(ctx context.Context, since time.Time) (rosemary.Position, error) {
 	c.Probe(ctx)
 	for {
 		c.mu.Lock()
@@ -300,7 +300,7 @@
 
 // Probe requests the status of every target now, and returns once a quorum has
 // answered. Only one probe runs at a time; further callers wait for their turn.
-func (c *Controller) Probe(ctx context.Context) {
+func (c *Monitor) Probe(ctx context.Context) {
 	if len(c.config.Probes) == 0 {
 		return
 	}
@@ -328,7 +328,7 @@
 
 // awaitQuorum returns once a quorum has answered and the primary's term was in
 // force recently, or once every target has answered or failed.
-func (c *Controller) awaitQuorum(answered <-chan bool) {
+func (c *Monitor) awaitQuorum(answered <-chan bool) {
 	successes := 0
 	for range c.config.Probes {
 		if <-answered {
@@ -342,4 +342,4 @@
 
 // WatchTimeout returns how long a target holds a watch whose status doesn't
 // change.
-func (c *Controller) WatchTimeout() time.Duration { return c.config.WatchTimeout }
+func (c *Monitor) WatchTimeout() time.Duration { return c.config.WatchTimeout }
--- a/pkg/rosegroup/facts.go
+++ b/pkg/rosegroup/facts.go
@@ -136,9 +136,9 @@
 // Confirmed returns the greatest confirmed position.
 func (o *Observations) Confirmed() rosemary.Position { return o.confirmed }
 
-// RecordStateAt tells whether the record at p is confirmed, permanently lost,
+// RecordState tells whether the record at p is confirmed, permanently lost,
 // or neither yet.
-func (o *Observations) RecordStateAt(p rosemary.Position) rosemary.RecordState {
+func (o *Observations) RecordState(p rosemary.Position) rosemary.RecordState {
 	return o.history.RecordState(p, o.confirmed)
 }
 
--- a/pkg/roseroute/router.go
+++ b/pkg/roseroute/router.go
@@ -36,7 +36,7 @@
 
 // Config sets up a Router.
 type Config struct {
-	Group  *rosegroup.Controller
+	Group  *rosegroup.Monitor
 	Zone   rosemary.Zone
 	Pools  map[rosemary.TargetID]*rosepool.Pool
 	Queues map[rosemary.TargetID]*roseadmit.Queue
@@ -91,7 +91,7 @@
 }
 
 // Group returns the controller of the router's group.
-func (r *Router) Group() *rosegroup.Controller { return r.config.Group }
+func (r *Router) Group() *rosegroup.Monitor { return r.config.Group }
 
 // Acquire waits for a connection to a target that may serve the request. If it
 // fails, nothing was sent. The error is a *rosemary.Refusal.
--- a/pkg/rosesupervisor/explore_test.go
+++ b/pkg/rosesupervisor/explore_test.go
@@ -221,7 +221,7 @@
 		return false
 	}
 	for write := uint8(1); write <= e.model.writes; write++ {
-		switch e.observer.RecordStateAt(e.model.positions[write]) {
+		switch e.observer.RecordState(e.model.positions[write]) {
 		case rosemary.RecordPresent:
 			e.model.acked |= 1 << write
 		case rosemary.RecordLost:
--- a/pkg/rosesupervisor/supervisor.go
+++ b/pkg/rosesupervisor/supervisor.go
@@ -30,7 +30,7 @@
 // Config configures a Supervisor.
 type Config struct {
 	Self  rosemary.ProxyID
-	Group *rosegroup.Controller
+	Group *rosegroup.Monitor
 	// Control returns the control functions of a target; they are separate from
 	// those that the controller uses for its watches.
 	Control func(rosemary.TargetID) rosemary.TargetControl
