--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -108,7 +108,7 @@
 		readTargets: make(chan struct{}, 1),
 	}
 	n.mesh = n.newMesh()
-	n.carrier = rosecaller.NewLocalExecutor(rosecaller.LocalExecutorConfig{Group: n.Group, Budget: n.budget})
+	n.carrier = rosecaller.NewLocalExecutor(rosecaller.LocalExecutorConfig{Group: n.Group, RetryBudget: n.budget})
 	n.relays = roserelay.NewServer(roserelay.ServerConfig{Executor: here{n}})
 	n.homes = roserelay.NewClient(roserelay.ClientConfig{Dialer: config.Dialer})
 	n.duty = rosesupervisor.NewLockManager(rosesupervisor.LockManagerConfig{
--- a/pkg/rosecaller/carrier.go
+++ b/pkg/rosecaller/carrier.go
@@ -12,8 +12,8 @@
 // LocalExecutorConfig configures a LocalExecutor.
 type LocalExecutorConfig struct {
 	// Group returns the targets of a group.
-	Group  func(name string) (*rosefleet.Group, bool)
-	Budget *roseadmit.RetryBudget
+	Group       func(name string) (*rosefleet.Group, bool)
+	RetryBudget *roseadmit.RetryBudget
 }
 
 // LocalExecutor runs tasks on this proxy's own connections to targets.
@@ -28,14 +28,14 @@
 
 // Run runs a statement outside a transaction.
 func (e *LocalExecutor) Run(ctx context.Context, task Task) Result {
-	e.config.Budget.Deposit()
+	e.config.RetryBudget.Deposit()
 	j := &job{executor: e, task: task}
 	return j.result(j.runAutocommit(ctx, task.Statement))
 }
 
 // Begin opens a transaction with its first statement.
 func (e *LocalExecutor) Begin(ctx context.Context, task Task) (Transaction, Result) {
-	e.config.Budget.Deposit()
+	e.config.RetryBudget.Deposit()
 	j := &job{executor: e, task: task, transactionState: rosemary.TransactionOpen}
 	result := j.result(j.runFirstStatement(ctx, task.Statement))
 	if !result.Open {
--- a/pkg/rosecaller/prelude.go
+++ b/pkg/rosecaller/prelude.go
@@ -33,15 +33,15 @@
 // prepared statements to a connection, and its state once they have run.
 func (j *job) setupStatements(lease *rosefleet.Lease, statement rosemary.Statement) ([]rosemary.Statement, *sessionState) {
 	var statements []rosemary.Statement
-	next := &sessionState{values: j.task.Values, prepared: make(map[string]bool)}
+	next := &sessionState{values: j.task.Settings, prepared: make(map[string]bool)}
 	current, _ := lease.SessionState().(*sessionState)
-	if current != nil && containsNames(current.values, j.task.Values) {
+	if current != nil && containsNames(current.values, j.task.Settings) {
 		next.prepared = current.prepared
 	} else if current != nil {
 		statements = append(statements, rosemary.Statement{Kind: rosemary.StatementReset})
 		current = nil
 	}
-	for name, value := range j.task.Values {
+	for name, value := range j.task.Settings {
 		if current != nil && current.values[name] == value {
 			if _, isSet := current.values[name]; isSet {
 				continue
--- a/pkg/rosecaller/run.go
+++ b/pkg/rosecaller/run.go
@@ -86,7 +86,7 @@
 	if a.tries >= maxTries || ctx.Err() != nil || !time.Now().Before(a.deadline) {
 		return false
 	}
-	if a.tries > 1 && !j.executor.config.Budget.TryWithdraw() {
+	if a.tries > 1 && !j.executor.config.RetryBudget.TryWithdraw() {
 		return false
 	}
 	if a.tries > 2 {
@@ -218,7 +218,7 @@
 		a.avoid = lease.Target()
 		return tryRetry
 	case rosemary.FailureUnknownStatement:
-		lease.SetSessionState(&sessionState{values: j.task.Values, prepared: make(map[string]bool)})
+		lease.SetSessionState(&sessionState{values: j.task.Settings, prepared: make(map[string]bool)})
 		return tryRetry
 	case rosemary.FailureExecution, rosemary.FailureTimeout:
 		if writes {
--- a/pkg/rosecaller/session.go
+++ b/pkg/rosecaller/session.go
@@ -166,7 +166,7 @@
 	if statement.Kind == rosemary.StatementCommit && s.transactionState != rosemary.TransactionOpen {
 		return s.commitOutsideTransaction()
 	}
-	task := Task{SessionID: s.id, Values: s.values, MinPosition: s.minPosition, MinPositionUnknown: s.minPositionUnknown}
+	task := Task{SessionID: s.id, Settings: s.values, MinPosition: s.minPosition, MinPositionUnknown: s.minPositionUnknown}
 	if statement.Kind == rosemary.StatementExecute {
 		p, known := s.prepared[statement.Name]
 		if !known {
--- a/pkg/rosecaller/session_test.go
+++ b/pkg/rosecaller/session_test.go
@@ -82,7 +82,7 @@
 	c.Assert(e.tasks, qt.HasLen, 4)
 	c.Check(e.tasks[0].MinPosition.IsZero(), qt.IsTrue)
 	c.Check(e.tasks[1].MinPosition, qt.Equals, position)
-	c.Check(e.tasks[1].Values, qt.DeepEquals, map[string]string{"tenant": "red"})
+	c.Check(e.tasks[1].Settings, qt.DeepEquals, map[string]string{"tenant": "red"})
 	c.Check(e.tasks[1].Prepared.Payload, qt.Equals, "shape")
 	c.Check(e.tasks[1].Statement.Name, qt.Equals, e.tasks[1].Prepared.Name)
 	c.Check(e.tasks[1].Statement.Name, qt.Not(qt.Equals), "mine")
--- a/pkg/rosecaller/task.go
+++ b/pkg/rosecaller/task.go
@@ -18,7 +18,7 @@
 	// ReadOnly is set in a transaction that only reads.
 	ReadOnly bool
 	// Values are the session's settings.
-	Values map[string]string
+	Settings map[string]string
 	// Prepared is the prepare statement that an execute refers to; zero for
 	// other statements.
 	Prepared rosemary.Statement
--- a/pkg/roserelay/codec.go
+++ b/pkg/roserelay/codec.go
@@ -94,7 +94,7 @@
 		prepared := encodeStatement(t.Prepared)
 		task.Prepared = &prepared
 	}
-	for name, text := range t.Values {
+	for name, text := range t.Settings {
 		task.Values = append(task.Values, rosewire.Value{Name: name, Text: text})
 	}
 	return task
@@ -117,10 +117,10 @@
 		Name: t.Class, MaxAge: time.Duration(orZero(t.MaxAgeMs)) * time.Millisecond, ReadYourWrites: orZero(t.OwnWrites),
 	}
 	if len(t.Values) > 0 {
-		task.Values = make(map[string]string, len(t.Values))
+		task.Settings = make(map[string]string, len(t.Values))
 	}
 	for _, v := range t.Values {
-		task.Values[v.Name] = v.Text
+		task.Settings[v.Name] = v.Text
 	}
 	return task
 }
--- a/pkg/roserelay/relay_test.go
+++ b/pkg/roserelay/relay_test.go
@@ -126,7 +126,7 @@
 	now := time.Now()
 	return rosecaller.Task{
 		Route:     rosemary.Route{Group: "g", Priority: 2, Class: rosemary.Class{Name: "own", MaxAge: 2500 * time.Millisecond, ReadYourWrites: true}},
-		SessionID: 9, Values: map[string]string{"tenant": "red"}, MinPosition: rosemary.Position{LogTerm: 2, Offset: 5},
+		SessionID: 9, Settings: map[string]string{"tenant": "red"}, MinPosition: rosemary.Position{LogTerm: 2, Offset: 5},
 		Prepared:  rosemary.Statement{Kind: rosemary.StatementPrepare, Name: "p1", Writes: true, Payload: "q2"},
 		Statement: rosemary.Statement{ID: id, Kind: kind, Writes: kind == rosemary.StatementWrite, Payload: "WRITE 1 one"},
 		Deadline:  now.Add(1500 * time.Millisecond), SoftDeadline: now.Add(250 * time.Millisecond),
@@ -141,7 +141,7 @@
 		c.Check(result, qt.DeepEquals, e.record(rosecaller.Task{}))
 		got := e.tasks[0]
 		c.Check(got.Route, qt.DeepEquals, sent.Route)
-		c.Check(got.Values, qt.DeepEquals, sent.Values)
+		c.Check(got.Settings, qt.DeepEquals, sent.Settings)
 		c.Check(got.Prepared, qt.DeepEquals, sent.Prepared)
 		c.Check(got.Statement, qt.DeepEquals, sent.Statement)
 		c.Check(got.MinPosition, qt.Equals, sent.MinPosition)
