--- a/internal/rosedaemon/admin.go
+++ b/internal/rosedaemon/admin.go
@@ -141,7 +141,7 @@
 
 // State returns what operators see.
 func (d *Daemon) State() State {
-	manifest, since := d.rollout.Current()
+	manifest, since := d.updater.Current()
 	state := State{
 		Name:     d.config.Name,
 		Zone:     d.config.Zone,
@@ -150,7 +150,7 @@
 		Callers:  d.front.Callers(),
 		Bundle:   BundleState{Version: manifest.Version, Digest: manifest.Digest(), Since: since},
 	}
-	if refused := d.rollout.LastError(); refused != nil {
+	if refused := d.updater.LastError(); refused != nil {
 		state.Bundle.Refused = trace.UserMessage(refused)
 	}
 	d.mu.RLock()
--- a/internal/rosedaemon/bundle.go
+++ b/internal/rosedaemon/bundle.go
@@ -30,8 +30,8 @@
 )
 
 // newRollout returns the rollout that brings bundles into force here.
-func (d *Daemon) newRollout() *rosebundle.Rollout {
-	return rosebundle.NewRollout(rosebundle.RolloutConfig{
+func (d *Daemon) newUpdater() *rosebundle.Updater {
+	return rosebundle.NewUpdater(rosebundle.UpdaterConfig{
 		TrustAnchors: d.config.Operators,
 		Apply: func(content *rosebundle.Content, m rosebundle.Manifest) {
 			d.Apply(content)
@@ -147,14 +147,14 @@
 func (d *Daemon) take(ctx context.Context, text string, fetch rosebundle.FetchFunc) {
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
-	if err := d.rollout.Update(ctx, text, fetch); err != nil {
+	if err := d.updater.Update(ctx, text, fetch); err != nil {
 		klog.InfoS("bundle refused", "proxy", d.config.Name, "err", err)
 	}
 }
 
 // heardVersion notes that a peer has a newer bundle.
 func (d *Daemon) heardVersion(event rosepeer.Event) {
-	current, _ := d.rollout.Current()
+	current, _ := d.updater.Current()
 	if event.BundleVersion <= current.Version {
 		return
 	}
@@ -166,6 +166,6 @@
 
 // Version returns the version of the bundle in force, zero for none.
 func (d *Daemon) Version() uint64 {
-	current, _ := d.rollout.Current()
+	current, _ := d.updater.Current()
 	return current.Version
 }
--- a/internal/rosedaemon/daemon.go
+++ b/internal/rosedaemon/daemon.go
@@ -71,7 +71,7 @@
 	metrics *rosefront.Metrics
 	mesh    *rosepeer.Mesh
 	dialer  rosemary.Dialer
-	rollout *rosebundle.Rollout
+	updater *rosebundle.Updater
 	// behind names a peer that has a newer bundle.
 	behind chan rosemary.ProxyID
 	ctx    context.Context
@@ -98,7 +98,7 @@
 	d.DrainAsked = make(chan struct{})
 	d.behind = make(chan rosemary.ProxyID, 1)
 	d.newMesh()
-	d.rollout = d.newRollout()
+	d.updater = d.newUpdater()
 	d.front = rosefront.NewServer(rosefront.Config{
 		Directory:            d,
 		Metrics:              d.metrics,
--- a/internal/rosedaemon/peers.go
+++ b/internal/rosedaemon/peers.go
@@ -37,7 +37,7 @@
 		TLS:                 d.config.PeerTLS,
 		OnEvent:             d.peerEvent,
 		OnCancel:            func(pid, secret uint32) { d.front.Cancel(pid, secret) },
-		BundlePart:          func(digest string) (string, bool) { return d.rollout.Part(digest) },
+		BundlePart:          func(digest string) (string, bool) { return d.updater.Part(digest) },
 		OnConnectionRequest: d.lend,
 		OnConnectionGrant:   d.borrowed,
 		AllowTunnel:         d.isTarget,
--- a/pkg/rosebundle/bench_test.go
+++ b/pkg/rosebundle/bench_test.go
@@ -41,7 +41,7 @@
 	content := largeContent(2400, key)
 	m, parts := rosebundle.Build(content, rosebundle.Manifest{})
 	m = m.WithSignature("ana", key)
-	rollout := rosebundle.NewRollout(rosebundle.RolloutConfig{
+	rollout := rosebundle.NewUpdater(rosebundle.UpdaterConfig{
 		TrustAnchors: rosebundle.OperatorList{Operators: content.Operators, Signatures: 1},
 		Apply:        func(*rosebundle.Content, rosebundle.Manifest) {},
 	})
--- a/pkg/rosebundle/rollout.go
+++ b/pkg/rosebundle/rollout.go
@@ -25,8 +25,8 @@
 // FetchFunc returns a part by its digest.
 type FetchFunc func(ctx context.Context, digest string) (string, error)
 
-// RolloutConfig configures a Rollout.
-type RolloutConfig struct {
+// UpdaterConfig configures a Rollout.
+type UpdaterConfig struct {
 	// TrustAnchors are the operators from the settings, for a proxy that has no
 	// bundle in force yet.
 	TrustAnchors OperatorList
@@ -34,11 +34,11 @@
 	Apply func(*Content, Manifest)
 }
 
-// Rollout holds the bundle in force at one proxy and updates it. A bundle comes
+// Updater holds the bundle in force at one proxy and updates it. A bundle comes
 // into force only with a higher version and the signatures that its predecessor
 // requires, so an older one can't be replayed.
-type Rollout struct {
-	config RolloutConfig
+type Updater struct {
+	config UpdaterConfig
 
 	// updating is a semaphore held while a bundle is fetched and applied.
 	updating chan struct{}
@@ -50,27 +50,27 @@
 	lastErr     error
 }
 
-// NewRollout returns a rollout without a bundle.
-func NewRollout(config RolloutConfig) *Rollout {
-	return &Rollout{config: config, parts: make(Parts), updating: make(chan struct{}, 1)}
+// NewUpdater returns a rollout without a bundle.
+func NewUpdater(config UpdaterConfig) *Updater {
+	return &Updater{config: config, parts: make(Parts), updating: make(chan struct{}, 1)}
 }
 
 // Current returns the manifest in force and the time it came into force.
-func (r *Rollout) Current() (Manifest, time.Time) {
+func (r *Updater) Current() (Manifest, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.current, r.activeSince
 }
 
 // LastError returns why the last bundle seen was refused, or nil.
-func (r *Rollout) LastError() error {
+func (r *Updater) LastError() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastErr
 }
 
 // Part returns a part for a peer, or the manifest in force for an empty digest.
-func (r *Rollout) Part(digest string) (string, bool) {
+func (r *Updater) Part(digest string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if digest == "" || r.current.Version > 0 && digest == r.current.Digest() {
@@ -85,7 +85,7 @@
 // required signatures, trace.BadParameter and *ValidationError for an invalid
 // one, trace.ConnectionProblem when ctx ends during another update, and those
 // of fetch.
-func (r *Rollout) Update(ctx context.Context, text string, fetch FetchFunc) error {
+func (r *Updater) Update(ctx context.Context, text string, fetch FetchFunc) error {
 	select {
 	case r.updating <- struct{}{}:
 	case <-ctx.Done():
@@ -99,7 +99,7 @@
 	return err
 }
 
-func (r *Rollout) update(ctx context.Context, text string, fetch FetchFunc) error {
+func (r *Updater) update(ctx context.Context, text string, fetch FetchFunc) error {
 	m, err := DecodeManifest(text)
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 // verify checks the signatures of m against the operators in force. If the
 // operators changed since then, every version in between is checked against its
 // predecessor's operators.
-func (r *Rollout) verify(ctx context.Context, m, current Manifest, parts Parts, fetch FetchFunc) error {
+func (r *Updater) verify(ctx context.Context, m, current Manifest, parts Parts, fetch FetchFunc) error {
 	if current.Version == 0 {
 		return r.verifyFirst(ctx, m, parts, fetch)
 	}
@@ -163,7 +163,7 @@
 
 // verifyFirst checks a first bundle: it must have the signatures that it
 // requires itself, and those that the trust anchors require.
-func (r *Rollout) verifyFirst(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) error {
+func (r *Updater) verifyFirst(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) error {
 	list, err := fetchOperators(ctx, m, parts, fetch)
 	if err != nil {
 		return err
--- a/pkg/rosebundle/rollout_test.go
+++ b/pkg/rosebundle/rollout_test.go
@@ -135,7 +135,7 @@
 		for _, name := range anchors {
 			list.Operators = append(list.Operators, operator(name))
 		}
-		r := rosebundle.NewRollout(rosebundle.RolloutConfig{
+		r := rosebundle.NewUpdater(rosebundle.UpdaterConfig{
 			TrustAnchors: list,
 			Apply:        func(_ *rosebundle.Content, m rosebundle.Manifest) { versions = append(versions, m.Version) },
 		})
