--- a/pkg/rosemary/group.go
+++ b/pkg/rosemary/group.go
@@ -49,19 +49,21 @@
 	return Target{}, false
 }
 
-// Class is a class of statements with common consistency and deadline rules.
+// Class sets the consistency, timeout and scheduling weight of statements.
 type Class struct {
 	Name string
-	// ReadOnly allows a replica to serve the statement.
+	// ReadOnly declares that the statements only read, so that a replica
+	// may serve them within MaxAge.
 	ReadOnly bool
-	// MaxAge bounds the age of the data that a replica may serve.
+	// MaxAge bounds the age of the data that a replica may serve; at zero
+	// only the primary serves the class.
 	MaxAge time.Duration
-	// ReadYourWrites makes reads within MaxAge also see the session's own
+	// ReadYourWrites makes reads from a replica also see the session's own
 	// writes.
 	ReadYourWrites bool
 	// Idempotent allows the statement to be retried after a failure.
 	Idempotent bool
-	// Deadline bounds the response time.
+	// Timeout bounds the response time.
 	Timeout time.Duration
 	// Weight is the scheduling weight of the class within its tenant.
 	Weight int
@@ -79,7 +81,7 @@
 	Verifier string
 }
 
-// DefaultClass returns the class of statements that name none.
-func DefaultClass(deadline time.Duration) Class {
-	return Class{Name: "default", Timeout: deadline, Weight: 1}
+// DefaultClass returns the class of statements that don't specify a class.
+func DefaultClass(timeout time.Duration) Class {
+	return Class{Name: "default", Timeout: timeout, Weight: 1}
 }
--- a/pkg/rosemary/interfaces.go
+++ b/pkg/rosemary/interfaces.go
@@ -13,14 +13,14 @@
 }
 
 // TargetControl calls the control functions of one target. Every call is
-// idempotent. It returns errors of the connection and of the target.
+// idempotent.
 type TargetControl interface {
 	// Watch returns the target's status as soon as it differs from known,
 	// at the latest after wait.
 	Watch(ctx context.Context, known Status, wait time.Duration) (Status, error)
 	// Fence makes the target accept term and reject writes of older terms.
-	// A target already at or above term rejects the call and reports its
-	// status.
+	// A target rejects the call if it has accepted a later term, or the same
+	// term from another proposer.
 	Fence(ctx context.Context, term uint64, proposer string) (Status, error)
 	// Promote makes a target that is fenced at term the primary of term.
 	Promote(ctx context.Context, term uint64) (Status, error)
@@ -28,15 +28,15 @@
 	Follow(ctx context.Context, primary TargetID, term uint64) (Status, error)
 }
 
-// Entry is a value in the platform's store and its revision.
+// Entry is a value in a Store and its revision.
 type Entry struct {
 	Value    []byte
 	Revision int64
 }
 
-// Store is the platform's key-value service. A failed call may still have
-// taken effect, so callers have to read the key back. The error is a
-// trace.ConnectionProblem if the service can't be reached, and a
+// Store is the part of etcd's key-value API that works on single keys. A failed
+// call may still have taken effect, so callers have to read the key back. The
+// error is a trace.ConnectionProblem if the store can't be reached, and a
 // trace.NotFound if the key doesn't exist.
 type Store interface {
 	// Get returns the latest value of key.
@@ -49,7 +49,7 @@
 	Watch(ctx context.Context, key string) (<-chan Entry, error)
 }
 
-// Member is an entry of the platform's VM list.
+// Member is a proxy and its VM, as listed by the platform.
 type Member struct {
 	Proxy   ProxyID
 	Zone    Zone
@@ -59,8 +59,8 @@
 	Weight int
 }
 
-// MemberSource lists the VMs that the platform knows. The list may be stale.
+// MemberSource lists the proxies that the platform knows.
 type MemberSource interface {
-	// Members returns the platform's current list.
+	// Members returns the platform's list, which may be stale.
 	Members(ctx context.Context) ([]Member, error)
 }
--- a/pkg/rosemary/keyvalue.go
+++ b/pkg/rosemary/keyvalue.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// ErrCompacted is returned by KeyValue.Changes if the store no longer has all
-// changes after the requested revision. The caller has to list the keys again.
+// ErrCompacted is returned by MetadataStore.Changes if the store no longer has
+// all changes after the requested revision. The caller has to list the keys
+// again.
 var ErrCompacted = errors.New("the store has compacted the requested revision; list the keys again")
 
-// Item is a key of the platform's store and its value.
+// Item is a key of a MetadataStore and its value.
 type Item struct {
 	Key   string
 	Value []byte
@@ -18,7 +19,7 @@
 	Revision int64
 	// CreateRevision is the store's revision at which the key was created.
 	CreateRevision int64
-	// Lease is the lease that the key is deleted with; zero for none.
+	// Lease is the lease whose end deletes the key; zero for none.
 	Lease int64
 }
 
@@ -37,14 +38,15 @@
 // Change is a set of writes and deletions that is applied atomically.
 type Change struct {
 	Preconditions []Precondition
-	Writes        []Item
+	// Writes lists the keys to write. Their revisions are ignored.
+	Writes []Item
 	// Deletes lists the keys to delete.
 	Deletes []string
 }
 
-// MetadataStore is the platform's key-value store with ranges, leases and
-// transactions. A failed call may still have taken effect, so callers have to
-// read the keys back. The error is a trace.ConnectionProblem if the store
+// MetadataStore is the platform's metadata store: a key-value store with prefix
+// listings, leases and transactions. A failed call may still have taken effect,
+// so callers have to read the keys back. The error is a trace.ConnectionProblem if the store
 // can't be reached or rejects the call.
 type MetadataStore interface {
 	// Read returns the latest value of key, or trace.NotFound.
--- a/pkg/rosemary/position.go
+++ b/pkg/rosemary/position.go
@@ -8,10 +8,10 @@
 	"github.com/gravitational/trace"
 )
 
-// Position is a position in a group's replication log. Positions are ordered
-// by LogTerm, then by Offset. The zero Position precedes every record.
+// Position identifies a record in a group's replication log. Positions are
+// ordered by LogTerm, then by Offset. The zero Position precedes every record.
 type Position struct {
-	// LogTerm is the term under which the last record was written.
+	// LogTerm is the term under which the record was written.
 	LogTerm uint64
 	// Offset counts records from the start of the log.
 	Offset uint64
--- a/pkg/rosemary/refusal.go
+++ b/pkg/rosemary/refusal.go
@@ -68,7 +68,8 @@
 	Message string
 	// Remedy tells the caller what to do next.
 	Remedy string
-	// RetryAfter is the time to wait before a retry; zero means none.
+	// RetryAfter is the suggested delay before a retry; zero for no
+	// suggestion.
 	RetryAfter time.Duration
 }
 
@@ -77,7 +78,8 @@
 	return fmt.Sprintf("%s: %s (%s); %s", r.Kind, r.Message, r.Outcome, r.Hint())
 }
 
-// SQLState returns the SQLSTATE code of the refusal.
+// SQLState returns the SQLSTATE code of the refusal. An unknown outcome takes
+// precedence over the kind.
 func (r *Refusal) SQLState() string {
 	if r.Outcome == OutcomeUnknown {
 		return "08007"
--- a/pkg/rosemary/statement.go
+++ b/pkg/rosemary/statement.go
@@ -52,7 +52,7 @@
 	ReadOnly bool
 	// Name is the name of a setting or of a prepared statement.
 	Name string
-	// Payload is forwarded unchanged.
+	// Payload is the text of the statement that is forwarded unchanged.
 	Payload string
 	// MinPosition is the position that a target must have reached to run
 	// the statement; zero for none.
@@ -76,8 +76,8 @@
 // Failure is the reason why a statement failed at a target.
 type Failure uint8
 
-// Failures of a statement. MayHaveRun depends on their order: the statement
-// didn't run with those before FailureExecution.
+// Failures of a statement. MayHaveRun depends on their order: those between
+// FailureNone and FailureExecution mean that the statement didn't run.
 const (
 	FailureNone Failure = iota
 	// FailureBusy means that the target had no free slot.
@@ -96,8 +96,8 @@
 	FailureAborted
 	// FailureExecution means that the statement ran and failed.
 	FailureExecution
-	// FailureTimeout means that the statement ran into the target's own
-	// time limit.
+	// FailureTimeout means that the statement exceeded the target's own time
+	// limit.
 	FailureTimeout
 	// FailureOther stands for error codes that the proxy doesn't know.
 	FailureOther
@@ -108,7 +108,8 @@
 
 // Answer is a target's response to a statement.
 type Answer struct {
-	Rows   []string
+	Rows []string
+	// Digest is the target's digest of the result; empty on failure.
 	Digest string
 	// Failure is FailureNone on success.
 	Failure Failure
@@ -129,12 +130,12 @@
 	Exchange(deadline time.Time, statements ...Statement) (answers []Answer, sent bool, err error)
 	// Status queries the target's status.
 	Status(deadline time.Time) (Status, error)
-	// Pause makes a replica reject its primary's log until a later term
-	// starts.
+	// Pause fences a replica: it rejects its primary's log until a later
+	// term starts.
 	Pause(deadline time.Time, term uint64) (Status, error)
 	// StepDown demotes a primary of a lower term to a replica.
 	StepDown(deadline time.Time, term uint64) (Status, error)
-	// Resume reverts Pause.
+	// Resume ends the fence of Pause.
 	Resume(deadline time.Time) (Status, error)
 	// Close closes the connection. The target rolls back a transaction that
 	// is open on it.
@@ -155,18 +156,24 @@
 type Promoter interface {
 	// Ping checks that the platform can be reached.
 	Ping(ctx context.Context) error
+	// Promote requests the promotion on behalf of the holder of the group's
+	// lock. The platform can reject requests of former holders by the
+	// lock's generation.
 	Promote(ctx context.Context, group string, target TargetID, holder string, generation int64) error
 }
 
 // TargetRegistration is the platform's record of one target.
 type TargetRegistration struct {
 	Target
-	Group       string
-	Slots       int
-	Leaving     bool
-	Primary     bool
+	Group   string
+	Slots   int
+	Leaving bool
+	Primary bool
+	// Incarnation differs after a replacement of the server under the same
+	// ID and address.
 	Incarnation int64
-	Sequence    int64
+	// Sequence increases with each update of the record.
+	Sequence int64
 }
 
 // TargetSource lists the targets registered with the platform. It skips and
--- a/pkg/rosemary/status.go
+++ b/pkg/rosemary/status.go
@@ -17,7 +17,7 @@
 	RoleFenced  Role = "fenced"
 )
 
-// TermStart is the first offset written in a term.
+// TermStart is a term and the offset of the first record written in it.
 type TermStart struct {
 	Term   uint64
 	Offset uint64
@@ -63,8 +63,9 @@
 )
 
 // RecordState returns whether the log with history h and last position end
-// contains the record written at p. It is unknown if the log hasn't reached p,
-// or if the term of p precedes those in h.
+// contains the record written at p. The record is lost if the log continues
+// without it in a later term. It is unknown if the log hasn't reached p, or if
+// the term of p precedes those in h.
 func (h History) RecordState(p, end Position) RecordState {
 	if p.LogTerm > end.LogTerm {
 		return RecordUnknown
@@ -111,10 +112,11 @@
 	Streaming bool
 	// Leaving is set if the target accepts no new work.
 	Leaving bool
-	// PausedTerm is the term of Conn.Pause; zero while the target isn't
-	// paused.
+	// PausedTerm is the term for which Conn.Pause has fenced the target;
+	// zero for none.
 	PausedTerm uint64
-	// BusySlots and Connections are the load of the target.
+	// BusySlots and Connections are the numbers of slots and connections in
+	// use.
 	BusySlots   int
 	Connections int
 }
