--- a/pkg/rosewire/wire.go
+++ b/pkg/rosewire/wire.go
@@ -30,7 +30,7 @@
 	Digest string `cbor:"Digest"`
 }
 
-// Fact is the status of a target as last sampled by the sender.
+// Fact is the latest target status that the sender has sampled.
 type Fact struct {
 	// AgeMs is the time since the status was requested from the target.
 	AgeMs uint64 `cbor:"AgeMs"`
@@ -41,14 +41,15 @@
 	// AppliedTerm is the log term of the last record applied.
 	AppliedTerm uint64 `cbor:"AppliedTerm"`
 
-	// FreeMs is the time for which the target had been seen without a fence when the
-	// status was requested.
+	// FreeMs is how long before the status request the target was already known to be
+	// unfenced.
 	FreeMs uint64 `cbor:"FreeMs"`
 
 	// Group is the group of the target.
 	Group string `cbor:"Group"`
 
-	// Held is the term for which the target is fenced; zero for none.
+	// Held is rosemary.Status.PausedTerm, the term for which the target is fenced;
+	// zero for none.
 	Held uint64 `cbor:"Held"`
 
 	// LogTerm is the log term of the target's last record.
@@ -77,9 +78,10 @@
 	Target string `cbor:"Target"`
 }
 
-// Heartbeat tells that the sender is alive, and what state it has.
+// Heartbeat shows that the sender is alive, and carries its state.
 type Heartbeat struct {
-	// BundleVersion is the version of the bundle that the sender uses.
+	// BundleVersion is the version of the bundle, or of the platform's configuration,
+	// that the sender uses.
 	BundleVersion uint64 `cbor:"BundleVersion"`
 
 	// Draining is set while the sender shuts down.
@@ -88,7 +90,7 @@
 	// Incarnation is the incarnation of the sender.
 	Incarnation uint64 `cbor:"Incarnation"`
 
-	// Known is a digest of the sender's member list.
+	// Known is unused and always zero.
 	Known uint64 `cbor:"Known"`
 }
 
@@ -185,7 +187,8 @@
 
 // News is a gossip message. Each proxy forwards the entries that are new to it.
 type News struct {
-	// BundleVersion is the latest known version of the bundle.
+	// BundleVersion is the latest known version of the bundle, or of the platform's
+	// configuration.
 	BundleVersion *uint64 `cbor:"BundleVersion,omitempty"`
 
 	// Leads are the changed primaries.
@@ -195,11 +198,12 @@
 	Members []Member `cbor:"Members,omitempty"`
 }
 
-// Order asks a home of the group, a proxy that holds connections to its targets,
-// to run a statement for the sender.
+// Order asks a home proxy of the group to run a statement for the sender. Home
+// proxies hold connections to the group's targets.
 type Order struct {
-	// Do is the requested operation: Run, Begin, Next, Rollback, or Beat for a
-	// heartbeat.
+	// Do is the requested operation: Run (a statement outside of a transaction),
+	// Begin (a transaction), Next (statement of a transaction), Rollback (of a
+	// transaction) or Beat (a heartbeat).
 	Do string `cbor:"Do"`
 
 	// Number identifies the order at the sender.
@@ -213,34 +217,37 @@
 	Transaction *uint64 `cbor:"Transaction,omitempty"`
 }
 
-// Pull requests a part of the bundle by its digest, or the current manifest.
+// Pull requests a part of the bundle by its digest, the current manifest, or the
+// platform's configuration.
 type Pull struct {
-	// Digest is the digest of the part; empty for the manifest.
+	// Digest is the digest of the part; empty for the manifest or the configuration.
 	Digest string `cbor:"Digest"`
 }
 
 // Question asks a peer about a group.
 type Question struct {
-	// About is the kind of question: Reach, Stop, Suspicion, Complaint, Abstain or
-	// Facts.
+	// About is the kind of question: Reach (can the peer reach Target), Stop (stop
+	// using the primary of Term), Suspicion (Target has just not answered the
+	// sender), Complaint (the sender can't reach Target), Abstain (don't claim a lock
+	// for a while) or Facts (send the sampled target statuses).
 	About string `cbor:"About"`
 
-	// Group is the group asked about.
+	// Group is the group asked about; empty if the question concerns none.
 	Group string `cbor:"Group"`
 
 	// Number identifies the question at the sender.
 	Number uint64 `cbor:"Number"`
 
-	// Target is the primary of the group.
+	// Target is the target asked about; empty if the question concerns none.
 	Target string `cbor:"Target"`
 
-	// Term is the term of the primary.
+	// Term is the term whose primary a Stop revokes; zero for other questions.
 	Term uint64 `cbor:"Term"`
 }
 
 // Refusal is the reason why a statement got no answer from a target.
 type Refusal struct {
-	// Kind is a rosemary.Kind.
+	// Kind is a rosemary.RefusalKind.
 	Kind string `cbor:"Kind"`
 
 	// Message describes what happened.
@@ -252,22 +259,23 @@
 	// Remedy tells the caller what to do next.
 	Remedy string `cbor:"Remedy"`
 
-	// RetryAfterMs is the time to wait before a retry.
+	// RetryAfterMs is the suggested delay before a retry; zero for no suggestion.
 	RetryAfterMs *uint64 `cbor:"RetryAfterMs,omitempty"`
 }
 
 // Reply answers a Question.
 type Reply struct {
-	// Facts is the answer to a Question about Facts.
+	// Facts are the target statuses that a Question about Facts asked for.
 	Facts []Fact `cbor:"Facts,omitempty"`
 
-	// Known is set if the peer has enough information to answer.
+	// Known is set if the peer had the information to answer. Otherwise, an unset Yes
+	// doesn't mean no.
 	Known bool `cbor:"Known"`
 
 	// Number is the number of the Question.
 	Number uint64 `cbor:"Number"`
 
-	// Yes is the peer's answer.
+	// Yes is set if the peer can reach the target or did what was asked.
 	Yes bool `cbor:"Yes"`
 }
 
@@ -300,7 +308,7 @@
 	// Open is set while the transaction is open at its target.
 	Open *bool `cbor:"Open,omitempty"`
 
-	// Primary is set if that target was the primary of its group.
+	// Primary is set if Target was the primary of its group.
 	Primary *bool `cbor:"Primary,omitempty"`
 
 	// Refusal corresponds to the JSON schema field "Refusal".
@@ -339,7 +347,7 @@
 	// AimMs is the time left until the route's latency objective.
 	AimMs int64 `cbor:"AimMs"`
 
-	// Class is the name of the route's class.
+	// Class is the name of the statement's class.
 	Class string `cbor:"Class"`
 
 	// DeadlineMs is the time left until the deadline of the request.
