--- a/pkg/roseclock/boot.go
+++ b/pkg/roseclock/boot.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is the time source for the age of data and the expiry of permissions.
+// Clock is the time source for the age of data and the expiry of leases.
 type Clock interface {
 	Now() time.Time
 }
--- a/pkg/roselog/writer.go
+++ b/pkg/roselog/writer.go
@@ -18,12 +18,12 @@
 	output io.Writer
 	wake   chan struct{}
 
-	mu           sync.Mutex
-	pending      []byte
-	unreported   uint64
-	droppedTotal uint64
-	idle         *sync.Cond
-	writing      bool
+	mu              sync.Mutex
+	pending         []byte
+	unreportedDrops uint64
+	droppedTotal    uint64
+	idle            *sync.Cond
+	writing         bool
 }
 
 // NewWriter returns a writer that buffers lines until Run writes them.
@@ -38,7 +38,7 @@
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if len(w.pending)+len(line) > maxPendingBytes {
-		w.unreported++
+		w.unreportedDrops++
 		w.droppedTotal++
 	} else {
 		w.pending = append(w.pending, line...)
@@ -57,8 +57,8 @@
 	for range w.wake {
 		w.mu.Lock()
 		lines := w.pending
-		dropped := w.unreported
-		w.pending, w.unreported, w.writing = spare[:0], 0, true
+		dropped := w.unreportedDrops
+		w.pending, w.unreportedDrops, w.writing = spare[:0], 0, true
 		w.mu.Unlock()
 		if dropped > 0 {
 			lines = fmt.Appendf(lines, "log lines left out: count=%d\n", dropped)
