--- a/pkg/rosesupervisor/decide.go
+++ b/pkg/rosesupervisor/decide.go
@@ -1,9 +1,14 @@
 // Package rosesupervisor performs failover and switchover for database groups:
-// it decides when a primary has to be replaced, fences targets, promotes a
-// successor and makes the other targets follow it. Any number of supervisors
-// may act on one group at once: safety of writes depends only on the fences at
-// the targets, and another supervisor can complete an attempt whose supervisor
-// died half-way.
+// it decides when a primary has to be replaced, fences targets and has a
+// successor promoted.
+//
+// A Supervisor promotes the successor itself and makes the other targets follow
+// it. Any number of supervisors may act on one group at once: safety of writes
+// depends only on the fences at the targets. After a supervisor died half-way,
+// another one starts over under a higher term.
+//
+// A Replacer has the platform's promoter promote the successor. It acts only
+// while its proxy holds the group's failover lock, which a LockManager claims.
 package rosesupervisor
 
 import (
@@ -33,8 +38,9 @@
 	ActionReplaceIsolated
 )
 
-// actionNames are the values of the log field "need".
-var actionNames = []string{"nothing", "follow", "move", "primary", "replace isolated"}
+// actionNames are the values of the log field "need". Operators search logs for
+// them, so they stay when a constant is renamed.
+var actionNames = []string{"nothing", "follow", "move", "primary", "reunion"}
 
 // String returns the value of the log field "need".
 func (a Action) String() string { return actionNames[a] }
@@ -48,10 +54,10 @@
 	noPrimaryDelay  = 200 * time.Millisecond
 )
 
-// Assess returns the action that the group requires, and how long its reason
-// has to persist before it is taken. The replicas' reports decide: a primary
-// is replaced only when so many of them no longer receive its log that it
-// can't confirm a write any more.
+// Assess returns the action that the group requires, and how long the condition
+// for the action has to persist. The replicas' reports decide: a primary that
+// isn't leaving is replaced only when so many of them no longer receive its log
+// that it can't confirm a write any more.
 func Assess(group rosemary.Group, view rosegroup.View, leaving func(rosemary.TargetID) bool) (Action, time.Duration) {
 	notStreaming, anyStreaming := countNotStreaming(view)
 	tooFewStreaming := notStreaming >= group.FenceQuorum()
--- a/pkg/rosesupervisor/duty.go
+++ b/pkg/rosesupervisor/duty.go
@@ -21,13 +21,13 @@
 const (
 	// leaseLifetime is the time to live of a proxy's lease in the store. It
 	// outlasts most outages of the store, so that a holder can fail over
-	// during them; the locks of a dead holder are taken over after it, or by
-	// the holder's own restart.
+	// during them. The locks of a dead holder are claimed by others after this
+	// time, or earlier by the holder itself after a restart.
 	leaseLifetime = 8 * time.Second
 	renewInterval = 2 * time.Second
 	// urgentRenewInterval applies while a group lacks a primary, so that free
 	// locks are found sooner, and while the cluster may be starting, so that
-	// new members are.
+	// new members are found sooner.
 	urgentRenewInterval = 300 * time.Millisecond
 	// clusterStartTime is how long after its own start a proxy expects other
 	// members to be starting too.
@@ -41,11 +41,12 @@
 	// stops acting before the store lets another proxy claim its locks.
 	leaseMargin      = 300 * time.Millisecond
 	storeCallTimeout = 500 * time.Millisecond
-	// claimStagger is the additional delay of each further proxy in the order
-	// in which a free lock is claimed.
+	// claimStagger is the delay between the turns of two successive proxies to
+	// claim a free lock.
 	claimStagger = 400 * time.Millisecond
-	// unknownZoneDelay is how long a claim waits for the group's primary to be
-	// known, as proxies of its availability zone claim last.
+	// unknownZoneDelay is added to the delay of a claim while the availability
+	// zone of the group's primary is unknown, as proxies of that zone are to
+	// claim last.
 	unknownZoneDelay = 1500 * time.Millisecond
 	// handOverDelay is how long a primary has to be in the holder's own zone
 	// before the holder releases the lock to another proxy.
@@ -82,8 +83,8 @@
 	// Peers is nil if there are no other proxies.
 	Peers Peers
 	// PrimaryZone returns the availability zone of a group's primary, and since
-	// when the primary is there; the zone is empty if unknown. Holders in other
-	// zones are preferred, as they survive the loss of that zone.
+	// when the primary has been there; the zone is empty if unknown. Holders in
+	// other zones are preferred, as they survive the loss of that zone.
 	PrimaryZone func(group string) (rosemary.Zone, time.Time)
 	// PrimaryMissing reports whether a group lacks a primary.
 	PrimaryMissing func() bool
@@ -91,8 +92,8 @@
 
 // Peers sends requests about locks to the other proxies.
 type Peers interface {
-	// Abstain asks all not to claim locks for abstainDuration, and returns
-	// those that promised it.
+	// RequestAbstention asks all not to claim locks for abstainDuration, and
+	// returns those that promised it.
 	RequestAbstention(ctx context.Context) []rosemary.ProxyID
 }
 
@@ -114,11 +115,11 @@
 	members []rosemary.Member
 	// freeSince is when the lock of a group was first seen to be free.
 	freeSince map[string]time.Time
-	// storeFailing is set while renewals fail without an answer that the lease
-	// has ended.
+	// storeFailing is set while the store can't be reached to renew or grant a
+	// lease.
 	storeFailing bool
-	// peersAbstainUntil is until when every other proxy has promised to claim
-	// nothing, and abstainUntil until when this one has.
+	// peersAbstainUntil is the time until which every other proxy has promised
+	// to claim no lock, and abstainUntil that of this proxy's own promise.
 	peersAbstainUntil time.Time
 	abstainUntil      time.Time
 }
@@ -225,9 +226,9 @@
 	return true
 }
 
-// requestAbstention has the other proxies promise to claim nothing while none of
-// them reaches the store: even if the lease expires there unnoticed, no other
-// proxy then takes over its locks. Every registered proxy has to promise; one
+// requestAbstention extends the time for which this proxy holds its locks while
+// the store can't be reached: if every registered proxy promises to claim none,
+// the locks stay with this proxy even if its lease expires in the store. A proxy
 // that reaches the store refuses.
 func (l *LockManager) requestAbstention(ctx context.Context) {
 	l.mu.Lock()
@@ -421,7 +422,7 @@
 	l.claim(ctx, group, item.Revision, lease)
 }
 
-// claimDelay returns how long this proxy leaves a free lock to others.
+// claimDelay returns how long a lock has to be free before this proxy claims it.
 func (l *LockManager) claimDelay(group string, members []rosemary.Member) time.Duration {
 	delay := time.Duration(l.claimRank(group, members)) * claimStagger
 	if zone, _ := l.config.PrimaryZone(group); zone == "" {
@@ -468,7 +469,8 @@
 	klog.InfoS("duty handed over", "group", group, "generation", generation, "zone", zone, "err", roselog.Err(err))
 }
 
-// claim takes a lock whose key is at revision; zero means that it is free.
+// claim claims a lock if its key is still at revision; zero stands for an absent
+// key.
 func (l *LockManager) claim(ctx context.Context, group string, revision, lease int64) {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeCallTimeout)
 	defer cancel()
--- a/pkg/rosesupervisor/explore_test.go
+++ b/pkg/rosesupervisor/explore_test.go
@@ -14,8 +14,8 @@
 
 // These tests are a bounded model check. They explore every interleaving, up to
 // a number of states, of two supervisors that may stop at any step, a writer,
-// replication and an observer whose samples may be stale, over a model of three
-// targets. Decisions are made by the production code: ChoosePrimary for
+// replication and an observer that samples one target at a time, over a model of
+// three targets. Decisions are made by the production code: ChoosePrimary for
 // promotions, rosegroup.Observations for acknowledgements.
 
 const (
@@ -394,11 +394,11 @@
 
 func TestExplorationFindsNoLostWrite(t *testing.T) {
 	for _, bounds := range []struct {
-		writes uint8
-		most   int
+		writes    uint8
+		maxStates int
 	}{{1, 150_000}, {exploreWrites, 100_000}} {
-		states, violation := explore(mutationNone, bounds.writes, bounds.most)
-		t.Logf("states=%d of at most %d, targets=%d writes=%d terms=%d", states, bounds.most, exploreTargets, bounds.writes, exploreTerms)
+		states, violation := explore(mutationNone, bounds.writes, bounds.maxStates)
+		t.Logf("states=%d of at most %d, targets=%d writes=%d terms=%d", states, bounds.maxStates, exploreTargets, bounds.writes, exploreTerms)
 		qt.New(t).Check(violation, qt.Equals, "")
 	}
 }
--- a/pkg/rosesupervisor/record.go
+++ b/pkg/rosesupervisor/record.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// claimTimeout is how long a failover waits for the store before it goes on
-	// without it: the store only keeps supervisors from disturbing each other,
+	// claimTimeout is how long a promotion waits for the store before it goes on
+	// without it: the store only keeps supervisors from competing for a term,
 	// while the fences ensure safety.
 	claimTimeout = 30 * time.Millisecond
 	// publishTimeout bounds one attempt to publish a primary.
--- a/pkg/rosesupervisor/replace.go
+++ b/pkg/rosesupervisor/replace.go
@@ -21,20 +21,21 @@
 	// connRefusedDelay is how long connections to a primary have to be refused
 	// before the other proxies are polled about it.
 	connRefusedDelay = 80 * time.Millisecond
-	// unresponsiveDelay is how long a primary has to be unresponsive before they
-	// are polled. If they agree, its replicas are fenced; a successor is promoted
-	// only if the primary is still unresponsive when its lease has expired.
+	// unresponsiveDelay is how long a primary has to be unresponsive before the
+	// other proxies are polled. If they agree, its replicas are fenced; a
+	// successor is promoted only if the primary is still unresponsive when the
+	// primary lease has expired.
 	unresponsiveDelay = 400 * time.Millisecond
 	// reportDelay is how long a primary has to be unresponsive for a proxy before
-	// that proxy reports it to the holder of the failover lock, for whom the
-	// primary may answer.
+	// that proxy reports it to the holder of the failover lock, to whom the
+	// primary may still respond.
 	reportDelay = 700 * time.Millisecond
 	// unknownPrimaryDelay is how long a group has to be without a primary
 	// before one is promoted.
 	unknownPrimaryDelay = 700 * time.Millisecond
-	// invalidLeaseDelay is how long a primary that answers may lack a valid
-	// lease because replicas are still fenced, as after a promotion that was
-	// not completed.
+	// invalidLeaseDelay is how long the primary lease has to be invalid, because
+	// replicas are still fenced after a promotion that was not completed, before
+	// a primary that answers is replaced.
 	invalidLeaseDelay = 2 * time.Second
 	// controlTimeout bounds one control call to a target.
 	controlTimeout = 400 * time.Millisecond
@@ -56,13 +57,13 @@
 	peerPollInterval = 500 * time.Millisecond
 	// peerPollTimeout bounds the wait for the replies of the other proxies.
 	peerPollTimeout = 300 * time.Millisecond
-	// stopTimeout bounds the wait for the other proxies to stop using a primary.
-	stopTimeout = 150 * time.Millisecond
+	// revokeTimeout bounds the wait for the other proxies to stop using a primary.
+	revokeTimeout = 150 * time.Millisecond
 	// reportLifetime is how long a report of an unreachable primary counts.
 	reportLifetime = 1500 * time.Millisecond
-	// unreachableShare is the share of the proxies that have to be unable to reach
-	// a primary that others reach: from there on, the interruption by a
-	// replacement costs callers less than the partition.
+	// unreachableShare is the share of the proxies that must be unable to reach a
+	// primary for it to be replaced although others reach it. At a smaller share
+	// the interruption by a replacement costs callers more than the partition.
 	unreachableShare = 1.0 / 3
 	// replacerInterval is the polling interval of a Replacer.
 	replacerInterval = 25 * time.Millisecond
@@ -83,12 +84,12 @@
 	ProxyCount func() int
 }
 
-// Voters are the other proxies, asked about a group's primary.
+// Voters sends requests and reports about a group's primary to the other proxies.
 type Voters interface {
 	// PollReachability returns how many replied, how many of them reach the
-	// target, and how many don't; the others don't know the target.
-	PollReachability(ctx context.Context, group string, target rosemary.TargetID) (replied, reach, miss int)
-	// StopUsingPrimary asks all to stop using the primary of term. It returns
+	// target, and how many don't; the rest don't know the target.
+	PollReachability(ctx context.Context, group string, target rosemary.TargetID) (replied, reachedBy, notReachedBy int)
+	// RevokePrimary asks all to stop using the primary of term. It returns
 	// those that have, and all that were asked.
 	RevokePrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID)
 	// Suspect tells all that the target has just failed to answer this proxy, so
@@ -184,8 +185,9 @@
 	r.config.Voters.ReportUnreachable(ctx, r.config.Group.Name(), view.Primary.Target)
 }
 
-// assess returns the action that the group requires, and whether its reason has
-// persisted long enough.
+// assess returns the action that the group requires, and whether the condition
+// for it has persisted long enough. The time for which the primary has been
+// unreachable counts too, also if another action was required meanwhile.
 func (r *Replacer) assess(view rosefleet.View) (Action, bool) {
 	action, delay := AssessReplacement(view)
 	if action == ActionNone && r.unreachableForMany(view) {
@@ -198,7 +200,8 @@
 	return action, now.Sub(r.actionSince) >= delay || view.PrimaryView.UnreachableFor >= delay && view.PrimaryView.UnreachableFor > 0
 }
 
-// step takes the action if it is due.
+// step takes the action if it is due and the other proxies confirm it. If no
+// action is required, it repairs targets.
 func (r *Replacer) step(ctx context.Context, view rosefleet.View, action Action, due bool) {
 	if action == ActionNone {
 		r.repairTargets(ctx, view)
@@ -240,29 +243,30 @@
 	r.polledAt = now
 	pollCtx, cancel := context.WithTimeout(ctx, peerPollTimeout)
 	defer cancel()
-	replied, reach, miss := r.config.Voters.PollReachability(pollCtx, r.config.Group.Name(), view.Primary.Target)
-	agreed := ReplacementAgreed(members, replied, reach, miss, view.HasPrimaryView)
+	replied, reachedBy, notReachedBy := r.config.Voters.PollReachability(pollCtx, r.config.Group.Name(), view.Primary.Target)
+	agreed := ReplacementAgreed(members, replied, reachedBy, notReachedBy, view.HasPrimaryView)
 	klog.InfoS("primary in doubt", "group", r.config.Group.Name(), "target", view.Primary.Target, "refused", view.PrimaryView.ConnectionRefused,
-		"failingFor", view.PrimaryView.UnreachableFor, "members", members, "replied", replied, "reachedBy", reach, "missedBy", miss, "replace", agreed)
+		"failingFor", view.PrimaryView.UnreachableFor, "members", members, "replied", replied, "reachedBy", reachedBy, "missedBy", notReachedBy, "replace", agreed)
 	return agreed
 }
 
 // ReplacementAgreed reports whether the replies of the other proxies allow a
 // replacement: replies from half of all proxies, this one included, are
 // required, and a share of at least unreachableShare of those that know the
-// primary must not reach it, so that a replacement is worthwhile.
-func ReplacementAgreed(members, replied, reach, miss int, primaryKnown bool) bool {
+// primary must not reach it, so that a replacement is worthwhile. If no primary
+// is known, the replies suffice.
+func ReplacementAgreed(members, replied, reachedBy, notReachedBy int, primaryKnown bool) bool {
 	if 2*(replied+1) < members {
 		return false
 	}
 	if !primaryKnown {
 		return true
 	}
-	return miss > 0 && float64(miss+1) >= unreachableShare*float64(reach+miss+1)
+	return notReachedBy > 0 && float64(notReachedBy+1) >= unreachableShare*float64(reachedBy+notReachedBy+1)
 }
 
-// AssessReplacement returns the action that the group requires, and how long its
-// reason has to persist before it is taken.
+// AssessReplacement returns the action that the group requires, and how long the
+// condition for the action has to persist.
 func AssessReplacement(view rosefleet.View) (Action, time.Duration) {
 	primary := view.PrimaryView
 	switch {
@@ -316,10 +320,10 @@
 		}
 		switch {
 		case t.Status.PausedTerm > 0 && t.Status.PausedTerm <= view.Primary.Term:
-			r.controlTarget(ctx, t.ID, "resume", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return l.Resume(deadline) })
+			r.controlTarget(ctx, t.ID, "resume", func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return c.Resume(deadline) })
 		case t.Status.Role == rosemary.RolePrimary && t.Status.Term < view.Primary.Term:
-			r.controlTarget(ctx, t.ID, "step down", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
-				return l.StepDown(deadline, view.Primary.Term)
+			r.controlTarget(ctx, t.ID, "step down", func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
+				return c.StepDown(deadline, view.Primary.Term)
 			})
 		}
 	}
@@ -332,7 +336,9 @@
 	return status, err
 }
 
-// replace demotes or fences the primary, and promotes a successor.
+// replace has the primary step down if it answers, and otherwise fences its
+// replicas and waits until no proxy uses it any more. It then has a successor
+// promoted.
 func (r *Replacer) replace(ctx context.Context, action Action, view rosefleet.View) error {
 	term := view.Term + 1
 	if action == ActionSwitchover || action == ActionReplaceIsolated {
@@ -354,7 +360,7 @@
 		return ctx.Err()
 	} else if r.answersAgain(view) {
 		r.unfence(ctx, view, fenced)
-		return trace.CompareFailed("primary %s answers again", view.Primary.Target)
+		return trace.CompareFailed("primary %s answers again, replacement is given up", view.Primary.Target)
 	} else if err := r.verifyFences(ctx, fenced); err != nil {
 		return err
 	}
@@ -374,7 +380,7 @@
 // connections, as a proxy unknown to this one then can't use the primary either.
 func (r *Replacer) awaitLeaseExpiry(ctx context.Context, view rosefleet.View) bool {
 	fencedAt := time.Now()
-	if view.HasPrimaryView && view.PrimaryView.ConnectionRefused && r.config.Voters != nil && r.stopAllProxies(ctx, view.Term) {
+	if view.HasPrimaryView && view.PrimaryView.ConnectionRefused && r.config.Voters != nil && r.revokeOnAllProxies(ctx, view.Term) {
 		return true
 	}
 	return roseclock.Sleep(ctx, time.Until(fencedAt.Add(rosegroup.PrimaryLeaseTime+clockRateMargin)))
@@ -388,10 +394,10 @@
 		current.HasPrimaryView && current.Primary.Target == view.Primary.Target && current.PrimaryView.UnreachableFor == 0
 }
 
-// stopAllProxies asks every proxy to stop using the primary of term, and reports
-// whether all that are registered or linked have.
-func (r *Replacer) stopAllProxies(ctx context.Context, term uint64) bool {
-	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
+// revokeOnAllProxies asks every proxy to stop using the primary of term, and
+// reports whether all that are registered or linked have.
+func (r *Replacer) revokeOnAllProxies(ctx context.Context, term uint64) bool {
+	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	r.config.Group.RevokePrimary(term)
 	members, err := r.config.Locks.ReadMembers(ctx)
@@ -422,15 +428,16 @@
 	if !view.HasPrimaryView || action != ActionSwitchover && view.PrimaryView.UnreachableFor > 0 {
 		return false, rosemary.Status{}
 	}
-	status, err := r.controlTarget(ctx, view.Primary.Target, "step down", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
-		return l.StepDown(deadline, term)
+	status, err := r.controlTarget(ctx, view.Primary.Target, "step down", func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
+		return c.StepDown(deadline, term)
 	})
 	return err == nil && status.Role == rosemary.RoleReplica, status
 }
 
-// fence pauses every replica and returns their statuses. Unless the primary has
-// stepped down all of them have to be fenced, as one that isn't would keep the
-// primary's lease valid. If it has, their statuses are read only.
+// fence fences every replica by Conn.Pause, and returns the statuses of all
+// targets that may be promoted. All replicas have to be fenced, as one that isn't
+// would keep the primary lease valid. If the primary has stepped down, fence only
+// queries their statuses, and leaves out those that don't answer.
 func (r *Replacer) fence(ctx context.Context, view rosefleet.View, term uint64, steppedDown bool, oldPrimary rosemary.Status) ([]rosemary.Status, error) {
 	var tasks errgroup.Group
 	answers := make([]rosemary.Status, len(view.Targets))
@@ -441,10 +448,10 @@
 		}
 		tasks.Go(func() error {
 			if steppedDown {
-				answers[i], errs[i] = r.controlTarget(ctx, t.ID, "status", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return l.Status(deadline) })
+				answers[i], errs[i] = r.controlTarget(ctx, t.ID, "status", func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return c.Status(deadline) })
 				return nil
 			}
-			answers[i], errs[i] = r.controlTarget(ctx, t.ID, "pause", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return l.Pause(deadline, term) })
+			answers[i], errs[i] = r.controlTarget(ctx, t.ID, "pause", func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return c.Pause(deadline, term) })
 			return nil
 		})
 	}
@@ -454,8 +461,8 @@
 		if t.ID == view.Primary.Target && view.HasPrimaryView {
 			continue
 		}
-		held := errs[i] == nil && (steppedDown || answers[i].PausedTerm > 0)
-		if held {
+		usable := errs[i] == nil && (steppedDown || answers[i].PausedTerm > 0)
+		if usable {
 			fenced = append(fenced, answers[i])
 			continue
 		}
@@ -471,13 +478,13 @@
 }
 
 // verifyFences checks that no replica has restarted since it was fenced: a
-// restart ends the fence, and the replica would extend the old primary's lease.
+// restart ends the fence, and the replica would extend the primary lease.
 func (r *Replacer) verifyFences(ctx context.Context, fenced []rosemary.Status) error {
 	var tasks errgroup.Group
 	for _, s := range fenced {
 		tasks.Go(func() error {
-			status, err := r.config.Group.Control(ctx, s.Target, controlTimeout, func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
-				return l.Status(deadline)
+			status, err := r.config.Group.Control(ctx, s.Target, controlTimeout, func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
+				return c.Status(deadline)
 			})
 			if err == nil && status.PausedTerm < s.PausedTerm {
 				return trace.CompareFailed("target %s is no longer fenced, it may have restarted", s.Target)
@@ -488,13 +495,14 @@
 	return tasks.Wait()
 }
 
-// unfence ends the fences of an attempt that is given up, but not those of
-// earlier ones. No promotion that could still take effect has been requested.
+// unfence ends the fences of an attempt that is given up before it requests a
+// promotion. Fences of earlier attempts stay, as a promotion that those have
+// requested may still take effect.
 func (r *Replacer) unfence(ctx context.Context, view rosefleet.View, fenced []rosemary.Status) {
 	for _, s := range fenced {
 		before := slices.IndexFunc(view.Targets, func(t rosefleet.TargetView) bool { return t.ID == s.Target })
 		if before >= 0 && view.Targets[before].Status.PausedTerm == 0 {
-			_, _ = r.controlTarget(ctx, s.Target, "resume", func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return l.Resume(deadline) })
+			_, _ = r.controlTarget(ctx, s.Target, "resume", func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return c.Resume(deadline) })
 		}
 	}
 }
@@ -508,8 +516,8 @@
 			if s.Target != oldPrimary.Target && s.Position.AtLeast(oldPrimary.Position) && !isLeaving(view, s.Target) {
 				return statuses
 			}
-			status, err := r.config.Group.Control(ctx, s.Target, controlTimeout, func(l rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
-				return l.Status(deadline)
+			status, err := r.config.Group.Control(ctx, s.Target, controlTimeout, func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
+				return c.Status(deadline)
 			})
 			if err == nil && s.Target != oldPrimary.Target {
 				statuses[i] = status
@@ -557,7 +565,7 @@
 func (r *Replacer) promote(ctx context.Context, successor rosemary.TargetID) error {
 	var err error
 	for range promoteAttempts {
-		err = r.orderPromotion(ctx, successor)
+		err = r.requestPromotion(ctx, successor)
 		if err == nil || trace.IsCompareFailed(err) {
 			r.pendingSuccessor = ""
 			break
@@ -581,9 +589,9 @@
 	return trace.LimitExceeded("target %s did not become primary in time", successor)
 }
 
-// orderPromotion requests a promotion if this proxy still holds the failover
+// requestPromotion requests a promotion if this proxy still holds the failover
 // lock.
-func (r *Replacer) orderPromotion(ctx context.Context, target rosemary.TargetID) error {
+func (r *Replacer) requestPromotion(ctx context.Context, target rosemary.TargetID) error {
 	generation, until, holds := r.config.Locks.Holds(r.config.Group.Name())
 	if !holds {
 		return trace.CompareFailed("failover lock was lost before the promotion was requested")
--- a/pkg/rosesupervisor/replace_test.go
+++ b/pkg/rosesupervisor/replace_test.go
@@ -15,7 +15,8 @@
 	return rosefleet.TargetView{TargetRegistration: rosemary.TargetRegistration{Target: rosemary.Target{ID: rosemary.TargetID(id)}}, SeenAt: time.Unix(1, 0)}
 }
 
-// viewWithPrimaryA returns a view of a group whose primary is a, after change.
+// viewWithPrimaryA returns a view of a group with targets a, b and c, whose
+// primary is a, with change applied.
 func viewWithPrimaryA(change func(v *rosefleet.View)) rosefleet.View {
 	v := rosefleet.View{
 		Term: 1, HasPrimary: true, HasPrimaryView: true, PrimaryValid: true, Primary: rosegroup.PrimaryLease{Target: "a", Term: 1},
@@ -50,8 +51,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			need, _ := AssessReplacement(viewWithPrimaryA(test.change))
-			qt.Check(t, need, qt.Equals, test.want)
+			action, _ := AssessReplacement(viewWithPrimaryA(test.change))
+			qt.Check(t, action, qt.Equals, test.want)
 		})
 	}
 }
@@ -60,9 +61,9 @@
 // replace a primary, even if none of them reaches it.
 func TestReplacementAgreed(t *testing.T) {
 	tests := []struct {
-		name                          string
-		members, replied, reach, miss int
-		known, want                   bool
+		name                                      string
+		members, replied, reachedBy, notReachedBy int
+		known, want                               bool
 	}{
 		{"no proxy reaches it", 6, 5, 0, 5, true, true},
 		{"all others reach it", 6, 5, 5, 0, true, false},
@@ -77,7 +78,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Check(t, ReplacementAgreed(test.members, test.replied, test.reach, test.miss, test.known), qt.Equals, test.want)
+			qt.Check(t, ReplacementAgreed(test.members, test.replied, test.reachedBy, test.notReachedBy, test.known), qt.Equals, test.want)
 		})
 	}
 }
--- a/pkg/rosesupervisor/supervisor.go
+++ b/pkg/rosesupervisor/supervisor.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	// rankStagger is the additional delay of each further supervisor of a group.
+	// rankStagger is the delay between the turns of two successive supervisors of
+	// a group.
 	rankStagger = 300 * time.Millisecond
 	// checkInterval bounds the time between two assessments of the group.
 	checkInterval = 50 * time.Millisecond
 	// initialDelay keeps a new supervisor from acting before it has heard from
 	// the targets.
 	initialDelay = time.Second
-	// retryDelay follows a failed attempt, plus a random delay of up to as much.
+	// retryDelay follows a failed attempt, plus jitter of up to the same time.
 	retryDelay = 50 * time.Millisecond
 )
 
@@ -32,11 +33,11 @@
 	Self  rosemary.ProxyID
 	Group *rosegroup.Monitor
 	// Control returns the control functions of a target; they are separate from
-	// those that the controller uses for its watches.
+	// those that Group uses for its watches.
 	Control func(rosemary.TargetID) rosemary.TargetControl
 	// Store may be nil.
 	Store rosemary.Store
-	// Rank is this proxy's place among the supervisors of the group.
+	// Rank returns this proxy's place among the supervisors of the group.
 	Rank func() int
 	// Announce notifies the peers of a new primary.
 	Announce func(rosemary.Status)
@@ -46,7 +47,8 @@
 	OnPromotion func(took time.Duration)
 }
 
-// Supervisor keeps one group with a primary that its other targets follow.
+// Supervisor ensures that one group has a primary and that its other targets
+// follow it.
 type Supervisor struct {
 	config  Config
 	started time.Time
@@ -86,8 +88,8 @@
 	}
 }
 
-// step takes an action once its reason has persisted long enough for this
-// proxy's rank.
+// step takes the action that the group requires once the condition for it has
+// persisted long enough for this proxy's rank.
 func (s *Supervisor) step(ctx context.Context, view rosegroup.View) {
 	action, delay := Assess(s.config.Group.Group(), view, s.config.Leaving)
 	now := time.Now()
