--- a/pkg/roseadmit/budget.go
+++ b/pkg/roseadmit/budget.go
@@ -14,27 +14,29 @@
 	maxBalance = 100.0
 )
 
-// RetryBudget limits retries to a share of requests, so that they don't multiply
-// the load during a failure. Its methods may be called concurrently.
+// RetryBudget is a token bucket that limits retries to a share of the requests
+// plus a constant rate, so that they don't multiply the load during a failure.
+// Its methods may be called concurrently.
 type RetryBudget struct {
 	mu         sync.Mutex
 	balance    float64
 	refilledAt time.Time
 }
 
-// NewRetryBudget returns a budget with a balance of retriesPerSecond.
+// NewRetryBudget returns a budget that holds the retries of one second.
 func NewRetryBudget() *RetryBudget {
 	return &RetryBudget{balance: retriesPerSecond, refilledAt: time.Now()}
 }
 
-// Deposit records a request.
+// Deposit adds the share of one request to the balance.
 func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.balance = min(b.balance+retriesPerRequest, maxBalance)
 }
 
-// TryWithdraw reports whether a retry may run, and takes it off the balance.
+// TryWithdraw reports whether a retry may run, and if so deducts it from the
+// balance.
 func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/roseadmit/limiter.go
+++ b/pkg/roseadmit/limiter.go
@@ -15,7 +15,7 @@
 	minLatencyWindow = 10 * time.Second
 	// decreaseFactor lowers the limit when requests queue at the target.
 	decreaseFactor = 0.8
-	// initialLatency is assumed before the first request was observed.
+	// initialLatency is assumed until a request has been observed.
 	initialLatency = 2 * time.Millisecond
 )
 
@@ -26,15 +26,15 @@
 }
 
 // limiter adapts the limit of requests in flight by additive increase and
-// multiplicative decrease: it raises the limit by one after a round of requests
-// with low latency, and lowers it when the latency shows that requests queue at
-// the target. Classes differ in cost, so each is compared with its own minimum
-// latency.
+// multiplicative decrease. After twice as many requests as the limit, it lowers
+// the limit if the latency shows that requests queue at the target, and
+// otherwise raises it by one if it was reached. Classes differ in cost, so each
+// is compared with its own minimum latency.
 type limiter struct {
 	limit              float64
 	maxLimit           int
 	meanLatency        time.Duration
-	latencyRise        float64
+	latencyRatio       float64
 	minLatencies       map[string]minLatency
 	samplesUntilAdjust int
 	saturated          bool
@@ -42,7 +42,7 @@
 
 func newLimiter(maxLimit int) limiter {
 	maxLimit = max(maxLimit, 1)
-	return limiter{limit: float64(maxLimit), maxLimit: maxLimit, latencyRise: 1, minLatencies: make(map[string]minLatency)}
+	return limiter{limit: float64(maxLimit), maxLimit: maxLimit, latencyRatio: 1, minLatencies: make(map[string]minLatency)}
 }
 
 func (l *limiter) current() int {
@@ -56,6 +56,8 @@
 	return l.meanLatency
 }
 
+// setMaxLimit changes the bound of the limit. A limit that is not lowered at the
+// moment follows the bound.
 func (l *limiter) setMaxLimit(maxLimit int) {
 	maxLimit = max(maxLimit, 1)
 	if l.current() == l.maxLimit {
@@ -65,7 +67,7 @@
 	l.limit = min(l.limit, float64(maxLimit))
 }
 
-// observe records the latency of a served request.
+// observe records the latency of a served request and adapts the limit.
 func (l *limiter) observe(class string, latency time.Duration, inFlight int) {
 	if l.meanLatency == 0 {
 		l.meanLatency = latency
@@ -77,7 +79,7 @@
 		l.minLatencies[class] = minimum
 	}
 	ratio := float64(latency) / float64(minimum.latency+latencyNoise)
-	l.latencyRise += smoothingFactor * (ratio - l.latencyRise)
+	l.latencyRatio += smoothingFactor * (ratio - l.latencyRatio)
 	l.saturated = l.saturated || inFlight >= l.current()
 	if l.samplesUntilAdjust > 0 {
 		l.samplesUntilAdjust--
@@ -88,7 +90,7 @@
 
 func (l *limiter) adjust() {
 	switch {
-	case l.latencyRise > queueingThreshold:
+	case l.latencyRatio > queueingThreshold:
 		l.limit = max(1, l.limit*decreaseFactor)
 	case l.saturated:
 		l.limit = min(l.limit+1, float64(l.maxLimit))
--- a/pkg/roseadmit/queue.go
+++ b/pkg/roseadmit/queue.go
@@ -12,7 +12,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Flow identifies the requests that share one weight.
+// Flow is the unit of fair queueing: the requests of one tenant and class.
 type Flow struct {
 	Tenant string
 	Class  string
@@ -31,8 +31,8 @@
 	MaxQueuedPerTenant int
 	// OnQueued is called when a request has to wait. It must not block.
 	OnQueued func()
-	// FirstInFirstOut replaces fair queueing; the load tool uses it as the
-	// baseline of its comparison.
+	// FirstInFirstOut serves requests in order of arrival instead of by fair
+	// queueing; the load tool uses it as the baseline of its comparison.
 	FirstInFirstOut bool
 }
 
@@ -84,7 +84,7 @@
 		q.mu.Unlock()
 		return q.ticket(flow), nil
 	}
-	if refusal := q.refuse(ctx, flow); refusal != nil {
+	if refusal := q.checkAdmission(ctx, flow); refusal != nil {
 		q.mu.Unlock()
 		return nil, refusal
 	}
@@ -105,9 +105,9 @@
 	return &Ticket{queue: q, class: flow.Class, started: time.Now()}
 }
 
-// refuse returns a refusal if a bound is reached or the deadline can't be met,
-// and nil otherwise. The lock is held.
-func (q *Queue) refuse(ctx context.Context, flow Flow) *rosemary.Refusal {
+// checkAdmission returns a refusal if a bound is reached or the deadline can't be
+// met, and nil otherwise. The lock is held.
+func (q *Queue) checkAdmission(ctx context.Context, flow Flow) *rosemary.Refusal {
 	wait := q.estimateWait(flow)
 	if len(q.waiting) >= q.config.MaxQueued || q.queuedPerTenant[flow.Tenant] >= q.config.MaxQueuedPerTenant {
 		return overloaded("the queue of the target is full", wait)
@@ -130,8 +130,9 @@
 	return time.Duration(float64(ahead) / float64(q.limiter.current()) * float64(q.limiter.latency()))
 }
 
-// finishTag returns the virtual finish time of a new request of flow. The lock
-// is held.
+// finishTag returns the virtual finish time of a new request of flow. With
+// FirstInFirstOut all tags are equal, so that waiters are served in order of
+// arrival. The lock is held.
 func (q *Queue) finishTag(flow Flow) float64 {
 	if q.config.FirstInFirstOut {
 		return q.virtualTime
@@ -158,7 +159,7 @@
 		q.dispatch()
 	} else {
 		heap.Remove(&q.waiting, w.index)
-		q.uncountWaiter(w)
+		q.afterRemoval(w)
 	}
 	return &rosemary.Refusal{
 		Kind:       rosemary.KindDeadline,
@@ -169,7 +170,9 @@
 	}
 }
 
-func (q *Queue) uncountWaiter(w *waiter) {
+// afterRemoval updates the state of the queue after w has left it. Virtual time
+// restarts once the queue is empty. The lock is held.
+func (q *Queue) afterRemoval(w *waiter) {
 	q.queuedPerTenant[w.flow.Tenant]--
 	if q.queuedPerTenant[w.flow.Tenant] == 0 {
 		delete(q.queuedPerTenant, w.flow.Tenant)
@@ -186,7 +189,7 @@
 	for q.inFlight < q.limiter.current() && len(q.waiting) > 0 {
 		w := heap.Pop(&q.waiting).(*waiter)
 		q.virtualTime = max(q.virtualTime, w.finishTag)
-		q.uncountWaiter(w)
+		q.afterRemoval(w)
 		q.inFlight++
 		close(w.ready)
 	}
@@ -238,7 +241,7 @@
 		Kind:       rosemary.KindOverloaded,
 		Outcome:    rosemary.OutcomeNotRun,
 		Message:    message,
-		Remedy:     "retry later, or ask the operators for a larger share",
+		Remedy:     "retry later, or ask the operators to raise the weight of the tenant or class",
 		RetryAfter: max(wait, time.Millisecond),
 	}
 }
--- a/pkg/roseadmit/queue_test.go
+++ b/pkg/roseadmit/queue_test.go
@@ -15,8 +15,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// runCallers has callers of a flow request tickets until ctx ends, hold each for
-// 10 ms, and count them in served.
+// runCallers starts callers of a flow. Until ctx ends, they request tickets, hold
+// each for 10 ms and count it in served.
 func runCallers(ctx context.Context, tasks *sync.WaitGroup, queue *roseadmit.Queue, flow roseadmit.Flow, callers int, served *atomic.Int64) {
 	for range callers {
 		tasks.Go(func() {
@@ -57,7 +57,7 @@
 				runCallers(ctx, &tasks, queue, roseadmit.Flow{Tenant: "light", Weight: 1}, 100, &light)
 				tasks.Wait()
 				ratio := float64(heavy.Load()) / float64(light.Load())
-				c.Check(ratio > test.low && ratio < test.high, qt.IsTrue, qt.Commentf("%d to %d", heavy.Load(), light.Load()))
+				c.Check(ratio > test.low && ratio < test.high, qt.IsTrue, qt.Commentf("%d tickets of heavy, %d of light", heavy.Load(), light.Load()))
 			})
 		})
 	}
@@ -69,6 +69,7 @@
 		queue := roseadmit.NewQueue(roseadmit.Config{MaxInFlight: 1, MaxQueued: 8, MaxQueuedPerTenant: 2})
 		slow, err := queue.Acquire(context.Background(), roseadmit.Flow{Tenant: "a"})
 		c.Assert(err, qt.IsNil)
+		// The latency of the slow request raises the expected wait above 500 ms.
 		time.Sleep(time.Second)
 		slow.Release(true)
 		held, err := queue.Acquire(context.Background(), roseadmit.Flow{Tenant: "a"})
--- a/pkg/roselend/lender.go
+++ b/pkg/roselend/lender.go
@@ -1,7 +1,7 @@
-// Package roselend divides the connections of a target between proxies: each has
-// a number of its own, and a lender grants the others for a short time on
-// demand. Loans only improve utilization; the connection limit is enforced by
-// the target itself.
+// Package roselend divides the connections of a target between proxies: each
+// proxy reserves some, and one proxy, the target's lender, grants the remaining
+// connections for a short time on demand. Loans only improve utilization; the
+// connection limit is enforced by the target itself.
 package roselend
 
 import (
@@ -23,14 +23,15 @@
 
 // Quota is the division of a target's connections.
 type Quota struct {
-	// Reserved is the number that each proxy owns.
+	// Reserved is the number of connections reserved for each proxy.
 	Reserved int
-	// Lendable is the number that the lender grants on demand.
+	// Lendable is the number of connections that the lender grants on demand.
 	Lendable int
 }
 
-// Divide divides connections between proxies, after one control connection for
-// each. Two thirds of an equal share are reserved, the remainder is lendable.
+// Divide divides connections between proxies, except for one control connection
+// of each proxy. Two thirds of an equal share, and at least one connection, are
+// reserved for each proxy; the remainder is lendable.
 func Divide(connections, proxies int) Quota {
 	proxies = max(proxies, 1)
 	available := max(connections-proxies, proxies)
@@ -38,13 +39,14 @@
 	return Quota{Reserved: reserved, Lendable: max(available-reserved*proxies, 0)}
 }
 
-// DivideEvenly divides connections evenly, with nothing lendable.
+// DivideEvenly divides connections evenly, except for one control connection of
+// each proxy. No connection is lendable.
 func DivideEvenly(connections, proxies int) Quota {
 	proxies = max(proxies, 1)
 	return Quota{Reserved: max((connections-proxies)/proxies, 1)}
 }
 
-// loan is what one borrower has borrowed of one target's connections.
+// loan is the current loan of one borrower at one target.
 type loan struct {
 	connections int
 	expiresAt   time.Time
@@ -62,8 +64,8 @@
 }
 
 // Grant returns how many of the lendable connections a borrower gets. A request
-// replaces the borrower's previous loan. While others request connections too,
-// none gets more than an equal share.
+// replaces the borrower's previous loan. While other borrowers request
+// connections too, each gets at most an equal share.
 func (l *Lender) Grant(now time.Time, target rosemary.TargetID, borrower rosemary.ProxyID, wanted, lendable int) int {
 	loans := l.loans[target]
 	if loans == nil {
