--- a/pkg/rosegroup/ages.go
+++ b/pkg/rosegroup/ages.go
@@ -31,9 +31,9 @@
 	samples []sample
 }
 
-// add appends the newest sample. It replaces the last one if that isn't valid
-// yet and repeats the position of the one before it, or was taken within
-// minSampleInterval of it.
+// add appends s, the newest sample. If the last sample isn't valid yet, s
+// replaces it in two cases: the last two samples and s have the same position
+// and none is valid, or the last two were taken within minSampleInterval.
 func (t *timeline) add(s sample) {
 	size := len(t.samples)
 	if size >= 2 && !t.samples[size-1].valid {
@@ -62,7 +62,8 @@
 	t.compact()
 }
 
-// compact drops the earlier of two valid samples at the same position.
+// compact drops the earlier of two adjacent valid samples at the same position.
+// It checks only the newest samples and drops at most one.
 func (t *timeline) compact() {
 	last := len(t.samples) - 1
 	for i := last; i >= 1 && i > last-4; i-- {
--- a/pkg/rosegroup/controller.go
+++ b/pkg/rosegroup/controller.go
@@ -11,17 +11,20 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Config sets up a Controller.
+// Config configures a Monitor.
 type Config struct {
 	Group rosemary.Group
-	// Controls holds one control connection for each target, for watching.
+	// Controls holds one control connection for each target, which the monitor
+	// uses to watch the target's status.
 	Controls map[rosemary.TargetID]rosemary.TargetControl
 	// Leaving reports whether a target is about to be removed; nil means none is.
 	Leaving func(rosemary.TargetID) bool
-	// Probes holds one control connection for each target, for an immediate
-	// status; nil leaves that to the watches.
+	// Probes holds one control connection for each target, which Probe uses to
+	// request the status at once. If it is nil, Probe does nothing and statuses
+	// come from the watches alone.
 	Probes map[rosemary.TargetID]rosemary.TargetControl
-	// WatchTimeout is how long a target holds a watch whose status doesn't change.
+	// WatchTimeout is how long a target delays its answer to a watch while its
+	// status doesn't change (long polling).
 	WatchTimeout time.Duration
 	// OnChange is called when the primary changes or a target goes down. It
 	// must not block.
@@ -31,7 +34,7 @@
 // Change is a change of primary or a target that went down.
 type Change struct {
 	Database string
-	// Down is set to a target that stopped answering.
+	// Down is the target that went down; empty if none did.
 	Down rosemary.TargetID
 	// Primary and Term are set when the primary changed.
 	Primary rosemary.TargetID
@@ -43,7 +46,8 @@
 	// reconnectDelay separates attempts to reach a target that doesn't answer.
 	reconnectDelay = 25 * time.Millisecond
 	// downThreshold is the number of failed calls after which a target counts
-	// as down: a failed watch, then a failed new connection.
+	// as down: a failed watch, then a failed new connection. A refused
+	// connection counts as down at once.
 	downThreshold = 2
 )
 
@@ -57,7 +61,7 @@
 	changed      chan struct{}
 	primary      rosemary.TargetID
 	term         uint64
-	// probing holds one token while a probe runs.
+	// probing is a semaphore that allows one probe at a time.
 	probing chan struct{}
 }
 
@@ -74,7 +78,7 @@
 // Down reports whether the target counts as down.
 func (r Reachability) Down() bool { return r.Failures >= downThreshold }
 
-// NewMonitor returns a controller; Run starts it.
+// NewMonitor returns a monitor; Run starts it.
 func NewMonitor(config Config) *Monitor {
 	if config.WatchTimeout <= 0 {
 		config.WatchTimeout = defaultWatchTimeout
@@ -91,101 +95,101 @@
 	}
 }
 
-// Group returns the group that the controller monitors.
-func (c *Monitor) Group() rosemary.Group { return c.config.Group }
+// Group returns the group that it monitors.
+func (m *Monitor) Group() rosemary.Group { return m.config.Group }
 
 // Run watches every target until ctx ends.
-func (c *Monitor) Run(ctx context.Context) error {
+func (m *Monitor) Run(ctx context.Context) error {
 	tasks, ctx := errgroup.WithContext(ctx)
-	for id, control := range c.config.Controls {
+	for id, control := range m.config.Controls {
 		tasks.Go(func() error {
-			c.watch(ctx, id, control)
+			m.watch(ctx, id, control)
 			return nil
 		})
 	}
 	return tasks.Wait()
 }
 
-func (c *Monitor) watch(ctx context.Context, id rosemary.TargetID, control rosemary.TargetControl) {
+func (m *Monitor) watch(ctx context.Context, id rosemary.TargetID, control rosemary.TargetControl) {
 	var known rosemary.Status
 	for ctx.Err() == nil {
 		sent := time.Now()
-		status, err := control.Watch(ctx, known, c.config.WatchTimeout)
+		status, err := control.Watch(ctx, known, m.config.WatchTimeout)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			known = rosemary.Status{}
-			c.observeFailure(id, err)
+			m.observeFailure(id, err)
 			roseclock.Sleep(ctx, reconnectDelay)
 			continue
 		}
 		known = status
-		c.observeAnswer(id)
-		c.Observe(Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
+		m.observeAnswer(id)
+		m.Observe(Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
 	}
 }
 
-func (c *Monitor) observeAnswer(id rosemary.TargetID) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.reachability[id].Failures > 0 || c.reachability[id].Since.IsZero() {
-		c.reachability[id] = Reachability{Since: time.Now()}
-		c.notifyChanged()
+func (m *Monitor) observeAnswer(id rosemary.TargetID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.reachability[id].Failures > 0 || m.reachability[id].Since.IsZero() {
+		m.reachability[id] = Reachability{Since: time.Now()}
+		m.notifyChanged()
 	}
 }
 
-func (c *Monitor) observeFailure(id rosemary.TargetID, err error) {
-	c.mu.Lock()
-	r := c.reachability[id]
+func (m *Monitor) observeFailure(id rosemary.TargetID, err error) {
+	m.mu.Lock()
+	r := m.reachability[id]
 	if r.Failures == 0 {
 		r.Since = time.Now()
 	}
 	r.Failures++
-	r.ConnectionRefused = isRefused(err)
+	r.ConnectionRefused = isConnectionRefused(err)
 	if r.ConnectionRefused {
 		r.Failures = max(r.Failures, downThreshold)
 	}
-	before := c.reachability[id].Down()
-	c.reachability[id] = r
+	before := m.reachability[id].Down()
+	m.reachability[id] = r
 	if r.Down() != before {
-		c.notifyChanged()
+		m.notifyChanged()
 	}
-	c.mu.Unlock()
+	m.mu.Unlock()
 	if r.Down() && !before {
-		c.config.OnChange(Change{Database: c.config.Group.Database, Down: id})
+		m.config.OnChange(Change{Database: m.config.Group.Database, Down: id})
 	}
 }
 
 // Observe records an observation made by this process or by a peer.
-func (c *Monitor) Observe(observation Observation) {
-	c.mu.Lock()
-	isNew := c.observations.Add(observation)
+func (m *Monitor) Observe(observation Observation) {
+	m.mu.Lock()
+	isNew := m.observations.Add(observation)
 	if isNew {
-		c.notifyChanged()
+		m.notifyChanged()
 	}
-	primary, ok := c.observations.Primary()
-	primaryChanged := ok && (primary.Target != c.primary || primary.Term != c.term)
+	primary, ok := m.observations.Primary()
+	primaryChanged := ok && (primary.Target != m.primary || primary.Term != m.term)
 	if primaryChanged {
-		c.primary, c.term = primary.Target, primary.Term
+		m.primary, m.term = primary.Target, primary.Term
 	}
-	c.mu.Unlock()
+	m.mu.Unlock()
 	if primaryChanged {
-		c.config.OnChange(Change{Database: c.config.Group.Database, Primary: primary.Target, Term: primary.Term})
+		m.config.OnChange(Change{Database: m.config.Group.Database, Primary: primary.Target, Term: primary.Term})
 	}
 }
 
 // notifyChanged wakes the waiters. The lock must be held.
-func (c *Monitor) notifyChanged() {
-	close(c.changed)
-	c.changed = make(chan struct{})
+func (m *Monitor) notifyChanged() {
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
 // Changed returns a channel that closes at the next change.
-func (c *Monitor) Changed() <-chan struct{} {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.changed
+func (m *Monitor) Changed() <-chan struct{} {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.changed
 }
 
 // TargetView is a snapshot of what is known of one target.
@@ -211,24 +215,25 @@
 	Confirmed  rosemary.Position
 	// TermVerifiedAt is when Term was last known to be in force.
 	TermVerifiedAt time.Time
-	// ConfirmationLag is how far confirmation is behind the primary.
+	// ConfirmationLag is how far confirmation is behind the primary; zero if
+	// that isn't known.
 	ConfirmationLag time.Duration
 }
 
 // View returns a snapshot, and a channel that closes at the next change.
-func (c *Monitor) View() (View, <-chan struct{}) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (m *Monitor) View() (View, <-chan struct{}) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
-	term := c.observations.Term()
-	view := View{Term: term, Confirmed: c.observations.Confirmed(), TermVerifiedAt: c.observations.TermVerifiedAt(term)}
-	if at := c.observations.ConfirmedAt(); !at.IsZero() {
+	term := m.observations.Term()
+	view := View{Term: term, Confirmed: m.observations.Confirmed(), TermVerifiedAt: m.observations.TermVerifiedAt(term)}
+	if at := m.observations.ConfirmedAt(); !at.IsZero() {
 		view.ConfirmationLag = now.Sub(at)
 	}
-	for _, t := range c.config.Group.Targets {
-		observation, seen := c.observations.Get(t.ID)
-		tv := TargetView{Target: t, Status: observation.Status, Reachability: c.reachability[t.ID], Seen: seen, SeenAt: observation.SentAt}
-		if caughtUpAt := c.observations.CaughtUpAt(t.ID); !caughtUpAt.IsZero() {
+	for _, t := range m.config.Group.Targets {
+		observation, seen := m.observations.Get(t.ID)
+		tv := TargetView{Target: t, Status: observation.Status, Reachability: m.reachability[t.ID], Seen: seen, SeenAt: observation.SentAt}
+		if caughtUpAt := m.observations.CaughtUpAt(t.ID); !caughtUpAt.IsZero() {
 			tv.Age = now.Sub(caughtUpAt)
 			tv.AgeKnown = true
 		}
@@ -238,24 +243,24 @@
 			view.HasPrimary = true
 		}
 	}
-	return view, c.changed
+	return view, m.changed
 }
 
 // Observations returns the newest observation of each target.
-func (c *Monitor) Observations() []Observation {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.observations.All()
+func (m *Monitor) Observations() []Observation {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.observations.All()
 }
 
 // AwaitConfirmation waits until the record at p is known to be confirmed or
 // lost. The error is that of ctx if it ends first.
-func (c *Monitor) AwaitConfirmation(ctx context.Context, p rosemary.Position) (rosemary.RecordState, error) {
+func (m *Monitor) AwaitConfirmation(ctx context.Context, p rosemary.Position) (rosemary.RecordState, error) {
 	for {
-		c.mu.Lock()
-		state := c.observations.RecordState(p)
-		changed := c.changed
-		c.mu.Unlock()
+		m.mu.Lock()
+		state := m.observations.RecordState(p)
+		changed := m.changed
+		m.mu.Unlock()
 		if state != rosemary.RecordUnknown {
 			return state, nil
 		}
@@ -268,15 +273,16 @@
 }
 
 // MinReadPosition returns a position at or after every write that was
-// acknowledged before since. It waits until a status of the primary was
-// requested after since and its term was in force after since.
-func (c *Monitor) MinReadPosition(ctx context.Context, since time.Time) (rosemary.Position, error) {
-	c.Probe(ctx)
+// acknowledged before since. It waits for a status of the primary that was
+// requested at or after since, and until its term is known to have been in force
+// at or after since.
+func (m *Monitor) MinReadPosition(ctx context.Context, since time.Time) (rosemary.Position, error) {
+	m.Probe(ctx)
 	for {
-		c.mu.Lock()
-		primary, ok := c.observations.Primary()
-		verified := ok && !primary.SentAt.Before(since) && !c.observations.TermVerifiedAt(primary.Term).Before(since)
-		c.mu.Unlock()
+		m.mu.Lock()
+		primary, ok := m.observations.Primary()
+		verified := ok && !primary.SentAt.Before(since) && !m.observations.TermVerifiedAt(primary.Term).Before(since)
+		m.mu.Unlock()
 		if verified {
 			return primary.Position, nil
 		}
@@ -300,46 +306,46 @@
 
 // Probe requests the status of every target now, and returns once a quorum has
 // answered. Only one probe runs at a time; further callers wait for their turn.
-func (c *Monitor) Probe(ctx context.Context) {
-	if len(c.config.Probes) == 0 {
+func (m *Monitor) Probe(ctx context.Context) {
+	if len(m.config.Probes) == 0 {
 		return
 	}
 	select {
-	case c.probing <- struct{}{}:
-		defer func() { <-c.probing }()
+	case m.probing <- struct{}{}:
+		defer func() { <-m.probing }()
 	case <-ctx.Done():
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	answered := make(chan bool, len(c.config.Probes))
+	answered := make(chan bool, len(m.config.Probes))
 	sent := time.Now()
-	for _, probe := range c.config.Probes {
+	for _, probe := range m.config.Probes {
 		go func() {
 			status, err := probe.Watch(ctx, rosemary.Status{}, 0)
 			if err == nil {
-				c.Observe(Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
+				m.Observe(Observation{Status: status, SentAt: sent, ReceivedAt: time.Now()})
 			}
 			answered <- err == nil
 		}()
 	}
-	c.awaitQuorum(answered)
+	m.awaitQuorum(answered)
 }
 
 // awaitQuorum returns once a quorum has answered and the primary's term was in
 // force recently, or once every target has answered or failed.
-func (c *Monitor) awaitQuorum(answered <-chan bool) {
+func (m *Monitor) awaitQuorum(answered <-chan bool) {
 	successes := 0
-	for range c.config.Probes {
+	for range m.config.Probes {
 		if <-answered {
 			successes++
 		}
-		if view, _ := c.View(); successes >= c.config.Group.Quorum() && view.HasPrimary && time.Since(view.TermVerifiedAt) < probeTimeout {
+		if view, _ := m.View(); successes >= m.config.Group.Quorum() && view.HasPrimary && time.Since(view.TermVerifiedAt) < probeTimeout {
 			return
 		}
 	}
 }
 
-// WatchTimeout returns how long a target holds a watch whose status doesn't
-// change.
-func (c *Monitor) WatchTimeout() time.Duration { return c.config.WatchTimeout }
+// WatchTimeout returns how long a target delays its answer to a watch while its
+// status doesn't change.
+func (m *Monitor) WatchTimeout() time.Duration { return m.config.WatchTimeout }
--- a/pkg/rosegroup/facts.go
+++ b/pkg/rosegroup/facts.go
@@ -1,6 +1,6 @@
 // Package rosegroup monitors one database group: which target is the primary,
 // what a quorum has confirmed, and how old each replica's data is.
-// Observations is plain state; Controller adds the goroutines that collect it.
+// Observations is plain state; Monitor adds the goroutines that collect it.
 package rosegroup
 
 import (
@@ -42,8 +42,9 @@
 	return &Observations{group: group, byTarget: make(map[rosemary.TargetID]Observation), leaving: leaving}
 }
 
-// Add records an observation and reports whether it changed what is known.
-// Observations may arrive late, twice and out of order.
+// Add records an observation and reports whether it changed the target's term,
+// position, role, Leaving or Streaming. Observations may arrive late, twice and
+// out of order.
 func (o *Observations) Add(observation Observation) bool {
 	if _, member := o.group.Find(observation.Target); !member {
 		return false
@@ -62,6 +63,8 @@
 		observation.Role != known.Role || observation.Leaving != known.Leaving || observation.Streaming != known.Streaming
 }
 
+// supersedes reports whether observation replaces known, whichever of the two
+// arrived first.
 func supersedes(observation, known Observation) bool {
 	if observation.Term != known.Term {
 		return observation.Term > known.Term
@@ -106,8 +109,9 @@
 	return all
 }
 
-// confirm advances the confirmed position: the greatest one that a quorum,
-// including the primary, was observed to hold under the primary's own term.
+// confirm advances the confirmed position: the greatest one that a quorum of
+// targets in the primary's term has reached with a record of that term. It is
+// never ahead of the primary.
 func (o *Observations) confirm() {
 	primary, ok := o.Primary()
 	if !ok {
@@ -196,7 +200,8 @@
 	return &clone
 }
 
-// Fingerprint differs between copies whose terms or positions differ.
+// Fingerprint returns a text that differs if the confirmed position, its history
+// or the rosemary.Status.Fingerprint of a target differs.
 func (o *Observations) Fingerprint() string {
 	parts := []string{o.confirmed.String(), o.history.String()}
 	for _, ob := range o.All() {
--- a/pkg/rosegroup/leadership.go
+++ b/pkg/rosegroup/leadership.go
@@ -28,8 +28,11 @@
 // other processes, and how long this process may rely on it: the primary
 // lease. A promotion fences every replica and then waits PrimaryLeaseTime, so
 // a replica that was unfenced less than PrimaryLeaseTime ago proves that no
-// promotion has taken effect. Leadership isn't safe for concurrent use. It reads
-// no clock; the times passed in must come from one that counts suspended time.
+// promotion has taken effect. A replica is fenced while its Status.PausedTerm is
+// set: it rejects its primary's log (see rosemary.Conn.Pause).
+//
+// Leadership isn't safe for concurrent use. It reads no clock; the times passed
+// in must come from one that counts suspended time.
 type Leadership struct {
 	targets   map[rosemary.TargetID]*targetState
 	term      uint64
@@ -124,8 +127,8 @@
 	if !s.unfenced() || shared.UnfencedSince.IsZero() {
 		return
 	}
-	measured := s.sentAt.Sub(s.unfencedSince) > 0
-	if !measured || shared.UnfencedSince.After(s.unfencedSince) {
+	unfencedBefore := s.sentAt.Sub(s.unfencedSince) > 0
+	if !unfencedBefore || shared.UnfencedSince.After(s.unfencedSince) {
 		s.unfencedSince = shared.UnfencedSince
 	}
 }
@@ -231,8 +234,8 @@
 	return known && lease.Target == id && lease.Term == term && now.Before(lease.ValidUntil)
 }
 
-// ObservePosition records that the primary of term had reached position in a
-// status requested at sentAt, if it is certain to be the primary at now.
+// ObservePosition records a position that the target reported in response to a
+// request sent at sentAt, if it is certain to be the primary of term at now.
 func (l *Leadership) ObservePosition(id rosemary.TargetID, term uint64, position rosemary.Position, sentAt, now time.Time) {
 	if position.IsZero() || !l.IsPrimary(id, term, now) {
 		return
--- a/pkg/rosegroup/leadership_test.go
+++ b/pkg/rosegroup/leadership_test.go
@@ -80,7 +80,7 @@
 			f.observeUnfenced("b", 1)
 			f.observeReplica("c", 1, 2)
 		}, true},
-		{"both fenced, lease time not over", func(f *fixture) {
+		{"all replicas fenced, PrimaryLeaseTime not over", func(f *fixture) {
 			f.observePrimary("a", 1)
 			f.observeUnfenced("b", 1)
 			f.advance(rosegroup.PrimaryLeaseTime / 2)
@@ -102,7 +102,7 @@
 			f.observeUnfenced("b", 1)
 			f.observeReplica("c", 2, 0)
 		}, false},
-		{"work refused by the primary", func(f *fixture) {
+		{"target refuses work as it is not the primary", func(f *fixture) {
 			f.observePrimary("a", 1)
 			f.observeUnfenced("b", 1)
 			f.ObserveNotPrimary("a")
--- a/pkg/rosegroup/permission_explore_test.go
+++ b/pkg/rosegroup/permission_explore_test.go
@@ -10,20 +10,21 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// The exploration steps through the interleavings of a promotion ordered from
-// the platform with a proxy that samples the replicas: slow answers, restarts of
-// replicas that end a fence, and a promotion that takes effect late.
+// The tests below explore the interleavings of a promoter, which fences the
+// replicas and has the platform promote one, with a proxy that samples the
+// replicas. They cover slow answers, restarts of replicas that end a fence, and
+// promotions that take effect late.
 
 const (
 	// tickDuration is the unit of time of the model.
 	tickDuration = 300 * time.Millisecond
-	// maxTicks is the length of a history.
+	// maxTicks is the length of an execution.
 	maxTicks = 8
 	// leaseTicks is the promoter's wait, PrimaryLeaseTime in ticks.
 	leaseTicks = int(PrimaryLeaseTime / tickDuration)
 	// maxPromotionTicks is the longest time from an order to its effect.
 	maxPromotionTicks = 3
-	// maxRestarts is the number of restarts of replicas in a history.
+	// maxRestarts is the maximum number of replica restarts in an execution.
 	maxRestarts = 1
 )
 
@@ -48,8 +49,9 @@
 	restarts   int
 	// restarted is set for a replica whose restart the proxy has not noticed.
 	restarted [2]bool
-	// queried is the replica of the status request under way, -1 for none;
-	// queriedAt is when it was sent, and response the replica's, if answered.
+	// queried is the replica whose status the proxy has requested, -1 for none;
+	// queriedAt is when it did. response is what the replica sent if answered is
+	// set; the proxy hasn't received it yet.
 	queried    int
 	queriedAt  int
 	answered   bool
@@ -207,13 +209,13 @@
 // maxStates limits the exploration to a part of the state space.
 const maxStates = 60_000
 
-func TestNoPermissionOutlivesAPromotion(t *testing.T) {
+func TestNoPrimaryLeaseOutlivesAPromotion(t *testing.T) {
 	states, violated := explore(promoterSafeguards{waitsForLease: true, rechecksFences: true}, maxStates)
 	t.Logf("%d states", states)
 	qt.Check(t, violated == nil, qt.IsTrue, qt.Commentf("%+v", violated))
 }
 
-// The exploration must find the fault of a promoter that doesn't wait for primary
+// The exploration must find a violation if the promoter doesn't wait for primary
 // leases to end.
 func TestExplorationFindsPromoterThatDoesNotWait(t *testing.T) {
 	states, violated := explore(promoterSafeguards{rechecksFences: true}, maxStates)
@@ -222,8 +224,8 @@
 }
 
 // TestNoPermissionOutlivesALateOrder replays a promotion that takes effect five
-// ticks after the fences were checked again, by when a restarted replica extends
-// the old primary's lease. It is listed in KNOWN-RED.txt.
+// ticks after the fences were checked again. By then a replica that has restarted
+// extends the old primary's lease. The test is listed in KNOWN-RED.txt.
 func TestNoPermissionOutlivesALateOrder(t *testing.T) {
 	const recheckedAt, promotedAt = leaseTicks, leaseTicks + 5
 	m := initialState()
--- a/pkg/rosegroup/reach.go
+++ b/pkg/rosegroup/reach.go
@@ -5,7 +5,7 @@
 	"syscall"
 )
 
-// isRefused reports whether the VM answered that no process listens on the port.
-func isRefused(err error) bool {
+// isConnectionRefused reports whether the VM answered that no process listens on the port.
+func isConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
