--- a/pkg/rosefleet/group.go
+++ b/pkg/rosefleet/group.go
@@ -18,7 +18,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Config sets up a Group.
+// Config configures a Group.
 type Config struct {
 	Name string
 	// Zone is the zone of this proxy; targets in it are preferred.
@@ -35,7 +35,7 @@
 	ZonePartitioned func() bool
 }
 
-// Group holds the targets of one group. Its methods may be called concurrently.
+// Group manages the targets of one database group. Its methods may be called concurrently.
 type Group struct {
 	config Config
 	tasks  sync.WaitGroup
@@ -60,7 +60,7 @@
 	slots       int
 	incarnation int64
 	leaving     bool
-	// leavingSince is when the target was first known to be leaving.
+	// leavingSince is when leaving last changed.
 	leavingSince time.Time
 	// unreachableSince is when the target stopped answering; zero while it
 	// answers.
@@ -68,14 +68,15 @@
 	// connectionRefused is set when the target's VM answered that no process
 	// listens on the port.
 	connectionRefused bool
-	// laggingUntil is until when reads with a minimum position avoid the target.
-	laggingUntil time.Time
+	// backoffUntil is until when reads avoid the target as a replica, because it
+	// had not reached their minimum position or had no connection left.
+	backoffUntil time.Time
 	// lag is how far behind the primary the target was at lagAt.
 	lag   time.Duration
 	lagAt time.Time
 	// sharedAt is when another proxy requested the last status that it shared.
 	sharedAt time.Time
-	// responseTime is the mean duration of an exchange.
+	// responseTime is the moving average of the duration of successful exchanges.
 	responseTime time.Duration
 }
 
@@ -102,36 +103,37 @@
 type ConnLimits struct {
 	// Share is this proxy's share of the connections that a target accepts.
 	Share int
-	// Max is the number that this proxy may open while others don't use theirs.
+	// Max is the number that this proxy may open while other proxies don't use
+	// their share.
 	Max int
 }
 
 // Update replaces the targets of the group.
-func (g *Group) Update(listings []rosemary.TargetRegistration, limits ConnLimits) {
+func (g *Group) Update(registrations []rosemary.TargetRegistration, limits ConnLimits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
 		return
 	}
-	registered := make(map[rosemary.TargetID]bool, len(listings))
-	ids := make([]rosemary.TargetID, 0, len(listings))
-	for _, l := range listings {
-		registered[l.ID] = true
-		ids = append(ids, l.ID)
-		e := g.endpoints[l.ID]
-		if e != nil && (e.target != l.Target || e.incarnation != l.Incarnation) {
+	registered := make(map[rosemary.TargetID]bool, len(registrations))
+	ids := make([]rosemary.TargetID, 0, len(registrations))
+	for _, r := range registrations {
+		registered[r.ID] = true
+		ids = append(ids, r.ID)
+		e := g.endpoints[r.ID]
+		if e != nil && (e.target != r.Target || e.incarnation != r.Incarnation) {
 			g.remove(e, "its registration changed")
 			e = nil
 		}
 		if e == nil {
-			e = g.add(l)
+			e = g.add(r)
 		}
-		if l.Leaving != e.leaving {
-			klog.InfoS("target leaving", "group", g.config.Name, "target", l.ID, "leaving", l.Leaving)
+		if r.Leaving != e.leaving {
+			klog.InfoS("target leaving", "group", g.config.Name, "target", r.ID, "leaving", r.Leaving)
 			e.leavingSince = g.config.Clock.Now()
 			g.notifyWaiters()
 		}
-		e.leaving, e.slots = l.Leaving, l.Slots
+		e.leaving, e.slots = r.Leaving, r.Slots
 		e.pool.setLimits(limits.Share, limits.Max)
 		e.pool.trim()
 	}
@@ -144,18 +146,18 @@
 }
 
 // add creates an endpoint and starts to sample it. The lock must be held.
-func (g *Group) add(l rosemary.TargetRegistration) *endpoint {
+func (g *Group) add(r rosemary.TargetRegistration) *endpoint {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &endpoint{
 		group:          g,
-		target:         l.Target,
-		incarnation:    l.Incarnation,
+		target:         r.Target,
+		incarnation:    r.Incarnation,
 		pool:           newPool(),
 		sampleRequests: make(chan struct{}, 1),
 		cancel:         cancel,
 	}
-	g.endpoints[l.ID] = e
-	klog.InfoS("target added", "group", g.config.Name, "target", l.ID, "address", l.Address, "zone", l.Zone, "born", l.Incarnation)
+	g.endpoints[r.ID] = e
+	klog.InfoS("target added", "group", g.config.Name, "target", r.ID, "address", r.Address, "zone", r.Zone, "born", r.Incarnation)
 	g.tasks.Go(func() { e.runSampler(ctx) })
 	return e
 }
@@ -302,8 +304,9 @@
 	}
 }
 
-// CheckReachable requests the status of a target now, and reports whether it
-// answers, and whether that is known before ctx ends.
+// CheckReachable requests the status of a target now, unless its last request
+// failed, and reports whether it answers. known is false if ctx ends first or if
+// the group has no such target.
 func (g *Group) CheckReachable(ctx context.Context, id rosemary.TargetID) (answers, known bool) {
 	g.mu.Lock()
 	e := g.endpoints[id]
@@ -335,8 +338,8 @@
 	return targets, answering
 }
 
-// MinPosition returns a position that includes every write acknowledged maxAge
-// ago. It reports false when none is known.
+// MinPosition returns a position that includes every write acknowledged at least
+// maxAge ago. It reports false when none is known.
 func (g *Group) MinPosition(maxAge time.Duration) (rosemary.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/rosefleet/lease.go
+++ b/pkg/rosefleet/lease.go
@@ -18,9 +18,9 @@
 	crossZonePenalty = 6 * time.Millisecond
 	// primaryPenalty keeps reads that a replica can serve off the primary.
 	primaryPenalty = 15 * time.Millisecond
-	// laggingBackoff is how long reads with a minimum position avoid a replica
-	// that had not reached one.
-	laggingBackoff = 60 * time.Millisecond
+	// replicaBackoff is how long reads avoid a replica that had not reached
+	// their minimum position or had no connection left.
+	replicaBackoff = 60 * time.Millisecond
 	// maxLagAge is how long a measured replication lag is used.
 	maxLagAge = time.Second
 	// chooseInterval is the longest wait before a target is chosen again.
@@ -45,20 +45,21 @@
 	// SoftDeadline is when the answer should be there. It bounds the wait for a
 	// connection only while the pool is overloaded.
 	SoftDeadline time.Time
-	// Owner identifies the session, which preferably gets the connection that
+	// SessionID identifies the session, which preferably gets the connection that
 	// it used last.
 	SessionID uint64
 	// Avoid is a target to use only if no other will do.
 	Avoid rosemary.TargetID
 }
 
-// Lease is a connection for the exclusive use of one session.
+// Lease is a connection for the exclusive use of one session. It is unrelated to
+// the primary lease (rosegroup.PrimaryLease).
 type Lease struct {
 	group    *Group
 	endpoint *endpoint
 	pooled   *pooledConn
-	// term is the one that the target was primary of when the lease began; zero
-	// for a replica.
+	// term is the one that the target was primary of when the connection was
+	// acquired; zero for a replica.
 	term uint64
 }
 
@@ -127,7 +128,8 @@
 }
 
 // caughtUp reports whether a replica has probably reached position by now, judged
-// by its last known lag. The lock must be held.
+// by its last known lag, or whether that lag is too old to tell. The lock must be
+// held.
 func (g *Group) caughtUp(e *endpoint, now time.Time, position rosemary.Position) bool {
 	reachedAt := g.leadership.ReachedAt(position)
 	if reachedAt.IsZero() {
@@ -142,8 +144,9 @@
 	return e.leaving && now.Sub(e.leavingSince) > leavingGrace
 }
 
-// cost estimates the response time of e, and reports whether e can serve the
-// request. The lock must be held.
+// cost reports whether e can serve the request, and estimates its response time.
+// A random factor of up to 5 % spreads requests over targets of similar cost. The
+// lock must be held.
 func (g *Group) cost(e *endpoint, primary rosegroup.PrimaryLease, valid bool, now time.Time, request Request) (time.Duration, bool) {
 	status, _, seen := g.leadership.Status(e.target.ID)
 	if !seen || !e.unreachableSince.IsZero() {
@@ -153,7 +156,7 @@
 	switch {
 	case isPrimary && (!valid || e.pastLeavingGrace(now)):
 		return 0, false
-	case !isPrimary && now.Before(e.laggingUntil) && !g.caughtUp(e, now, request.MinPosition):
+	case !isPrimary && now.Before(e.backoffUntil) && !g.caughtUp(e, now, request.MinPosition):
 		return 0, false
 	case !isPrimary && (request.MinPosition.IsZero() || status.Role != rosemary.RoleReplica || e.leaving):
 		return 0, false
@@ -200,7 +203,7 @@
 		}
 		lease.pooled = c
 	}
-	c.owner = request.SessionID
+	c.sessionID = request.SessionID
 	if term > 0 && !lease.StillPrimary() {
 		e.pool.put(c)
 		return nil, nil
@@ -230,7 +233,7 @@
 func (g *Group) handleDialError(e *endpoint, err error) {
 	if trace.IsLimitExceeded(err) {
 		g.mu.Lock()
-		e.laggingUntil = g.config.Clock.Now().Add(laggingBackoff)
+		e.backoffUntil = g.config.Clock.Now().Add(replicaBackoff)
 		g.mu.Unlock()
 		time.Sleep(chooseInterval)
 		return
@@ -241,7 +244,8 @@
 // Target returns the target of the connection.
 func (l *Lease) Target() rosemary.TargetID { return l.endpoint.target.ID }
 
-// Primary reports whether the target was the primary when the lease began.
+// Primary reports whether the target was the primary when the connection was
+// acquired.
 func (l *Lease) Primary() bool { return l.term > 0 }
 
 // SessionState returns what the last user of the connection set as its state, nil
@@ -252,8 +256,8 @@
 func (l *Lease) SetSessionState(state any) { l.pooled.sessionState = state }
 
 // StillPrimary reports whether the target is still the primary of the term in which
-// the lease began. An answer that arrived while it is doesn't come from a primary
-// that had been replaced.
+// the connection was acquired. If so, no answer received so far came from a primary
+// that had already been replaced.
 func (l *Lease) StillPrimary() bool {
 	l.group.mu.Lock()
 	defer l.group.mu.Unlock()
@@ -274,7 +278,8 @@
 	return answers, sent, nil
 }
 
-// observeAnswer records the position or the failure of an answer.
+// observeAnswer records the position or the failure of an answer. Only successes,
+// which have a digest, count for the mean response time.
 func (l *Lease) observeAnswer(answer rosemary.Answer, sentAt time.Time, took time.Duration) {
 	g, e := l.group, l.endpoint
 	switch answer.Failure {
@@ -286,7 +291,7 @@
 	case rosemary.FailureLagging:
 		g.mu.Lock()
 		now := g.config.Clock.Now()
-		e.laggingUntil = now.Add(laggingBackoff)
+		e.backoffUntil = now.Add(replicaBackoff)
 		e.observeApplied(answer.Position, now)
 		g.mu.Unlock()
 		return
--- a/pkg/rosefleet/pool.go
+++ b/pkg/rosefleet/pool.go
@@ -13,8 +13,8 @@
 	holdTimeWeight = 0.1
 	// initialHoldTime is assumed until a connection has been returned.
 	initialHoldTime = 20 * time.Millisecond
-	// fullBackoff is how long a pool opens no connections after its target had
-	// none left.
+	// fullBackoff is how long a pool opens no connections after its target
+	// rejected one because it had none left.
 	fullBackoff = 100 * time.Millisecond
 	// overloadThreshold is how long the queue must have been non-empty for the
 	// pool to count as overloaded.
@@ -29,7 +29,7 @@
 	conn rosemary.Conn
 	// sessionState is the state set by the connection's last user.
 	sessionState any
-	owner        uint64
+	sessionID    uint64
 	takenAt      time.Time
 	idleSince    time.Time
 }
@@ -42,8 +42,9 @@
 	open int
 	// limit is the maximum of open connections; share is this proxy's share of
 	// those that the target accepts.
-	limit     int
-	share     int
+	limit int
+	share int
+	// fullUntil is until when the pool opens no connections.
 	fullUntil time.Time
 	waiting   waiterHeap
 	// queuedSince is since when the queue has been non-empty.
@@ -80,7 +81,7 @@
 }
 
 // take returns an idle connection, or the right to open one (nil, true), or a
-// waiter. It prefers the connection that the request's owner used last.
+// waiter. It prefers the connection that the request's session used last.
 func (p *pool) take(request Request) (*pooledConn, bool, *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,10 +113,10 @@
 	return nil, false, w
 }
 
-func (p *pool) popIdle(owner uint64) *pooledConn {
+func (p *pool) popIdle(sessionID uint64) *pooledConn {
 	index := len(p.idle) - 1
 	for i := index; i >= 0; i-- {
-		if p.idle[i].owner == owner {
+		if p.idle[i].sessionID == sessionID {
 			index = i
 			break
 		}
@@ -135,21 +136,21 @@
 // takeForControl returns an idle connection, or the right to open one, for a call
 // that must not queue behind statements. It also reports whether the pool had open
 // connections before.
-func (p *pool) takeForControl() (c *pooledConn, ok, others bool) {
+func (p *pool) takeForControl() (c *pooledConn, ok, hadOpen bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, false, false
 	}
-	others = p.open > 0
+	hadOpen = p.open > 0
 	if len(p.idle) > 0 {
-		return p.popIdle(0), true, others
+		return p.popIdle(0), true, hadOpen
 	}
 	if p.mayOpen(1) {
 		p.open++
-		return nil, true, others
+		return nil, true, hadOpen
 	}
-	return nil, false, others
+	return nil, false, hadOpen
 }
 
 // abandon removes w from the queue, or passes on what it was granted.
@@ -190,8 +191,8 @@
 }
 
 // trim closes connections beyond half of the share that have been idle for
-// maxConnIdle. After a loss of power, a target holds the connections of the proxies
-// that failed for seconds, and only those left free can be used meanwhile.
+// maxConnIdle. After a power failure, a target holds the connections of the failed
+// proxies for some seconds, and until then the others can use only those left free.
 func (p *pool) trim() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -278,7 +279,7 @@
 	}
 }
 
-// close flushes the pool for good.
+// close flushes the pool, which from then on keeps no connections.
 func (p *pool) close() {
 	p.mu.Lock()
 	p.closed = true
@@ -351,14 +352,14 @@
 	h[j].index = j
 }
 
-// Push adds a waiter; it serves container/heap.
+// Push implements heap.Interface.
 func (h *waiterHeap) Push(x any) {
 	w := x.(*waiter)
 	w.index = len(*h)
 	*h = append(*h, w)
 }
 
-// Pop removes the last waiter; it serves container/heap.
+// Pop implements heap.Interface.
 func (h *waiterHeap) Pop() any {
 	old := *h
 	w := old[len(old)-1]
--- a/pkg/rosefleet/sample.go
+++ b/pkg/rosefleet/sample.go
@@ -117,7 +117,8 @@
 	case err == nil:
 		e.group.observe(e, status, sentAt)
 	case ctx.Err() != nil, trace.IsLimitExceeded(err):
-		// A target without a free slot or connection is alive.
+		// An ended ctx doesn't tell whether the target answers, and a target
+		// without a free slot or connection is alive.
 	default:
 		e.group.observeFailure(e, sentAt, err)
 		return false
@@ -128,13 +129,13 @@
 // runControl runs a call on a connection that no session uses.
 func (e *endpoint) runControl(ctx context.Context, timeout time.Duration, call func(rosemary.Conn, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
 	for {
-		c, ok, others := e.pool.takeForControl()
+		c, ok, hadOpen := e.pool.takeForControl()
 		if !ok {
-			return rosemary.Status{}, trace.LimitExceeded("all connections to target %s are in use", e.target.ID)
+			return rosemary.Status{}, trace.LimitExceeded("no connection to target %s is available", e.target.ID)
 		}
 		reused := c != nil
 		if !reused {
-			if !others {
+			if !hadOpen {
 				// Without an open connection a restart goes unnoticed.
 				e.group.observePossibleRestart(e)
 			}
--- a/pkg/rosefleet/shared_test.go
+++ b/pkg/rosefleet/shared_test.go
@@ -48,7 +48,7 @@
 // Close does nothing.
 func (statusConn) Close() {}
 
-// statusDialer opens connections with that latency.
+// statusDialer opens connections with that one-way latency.
 type statusDialer time.Duration
 
 // DialTarget opens a statusConn.
@@ -65,14 +65,14 @@
 				Name: "g", Zone: "z", Dialer: statusDialer(2 * time.Millisecond), Clock: roseclock.Runtime{},
 			})
 			defer g.Close()
-			var listings []rosemary.TargetRegistration
+			var registrations []rosemary.TargetRegistration
 			var ids []rosemary.TargetID
 			for i := 1; i <= 3; i++ {
 				id := rosemary.TargetID(fmt.Sprint("t-", i))
 				ids = append(ids, id)
-				listings = append(listings, rosemary.TargetRegistration{Target: rosemary.Target{ID: id, Zone: "z"}, Group: "g", Slots: 3})
+				registrations = append(registrations, rosemary.TargetRegistration{Target: rosemary.Target{ID: id, Zone: "z"}, Group: "g", Slots: 3})
 			}
-			g.Update(listings, rosefleet.ConnLimits{Share: 4, Max: 4})
+			g.Update(registrations, rosefleet.ConnLimits{Share: 4, Max: 4})
 			started := time.Now()
 			for time.Since(started) < 4*time.Second {
 				time.Sleep(10 * time.Millisecond)
