--- a/pkg/roseroute/router.go
+++ b/pkg/roseroute/router.go
@@ -22,19 +22,19 @@
 	// transitMargin is kept between the age of a replica's data and a class's
 	// MaxAge, for the time that the statement takes to reach the replica.
 	transitMargin = 20 * time.Millisecond
-	// defaultMaxPrimaryAge bounds the time since the primary's term was last
+	// defaultMaxVerificationAge bounds the time since the primary's term was last
 	// known to be in force, for classes without a MaxAge.
-	defaultMaxPrimaryAge = time.Second
-	// maxPrimaryAgeWatches is the number of watches without a change that
-	// this bound covers at least.
-	maxPrimaryAgeWatches = 3
+	defaultMaxVerificationAge = time.Second
+	// verificationAgeWatches raises that bound to at least this many watch
+	// timeouts: a status that doesn't change arrives only once per watch timeout.
+	verificationAgeWatches = 3
 	// maxWaiting limits the number of statements that wait for a target.
 	maxWaiting = 4096
 	// retryInterval separates attempts to get a connection to a target.
 	retryInterval = 5 * time.Millisecond
 )
 
-// Config sets up a Router.
+// Config configures a Router.
 type Config struct {
 	Group  *rosegroup.Monitor
 	Zone   rosemary.Zone
@@ -83,14 +83,14 @@
 	ticket  *roseadmit.Ticket
 }
 
-// Release returns the connection. Served tells that the lease was held for a
-// single statement, so that its duration is a sample of the target's latency.
-func (l *Lease) Release(served bool) {
-	l.ticket.Release(served && !l.Conn.Broken())
+// Release returns the connection. singleStatement tells that the lease was held
+// for a single statement, so that its duration is a sample of the target's latency.
+func (l *Lease) Release(singleStatement bool) {
+	l.ticket.Release(singleStatement && !l.Conn.Broken())
 	l.pool.Release(l.Conn)
 }
 
-// Group returns the controller of the router's group.
+// Group returns the monitor of the router's group.
 func (r *Router) Group() *rosegroup.Monitor { return r.config.Group }
 
 // Acquire waits for a connection to a target that may serve the request. If it
@@ -153,7 +153,7 @@
 	if !view.HasPrimary || primary.Reachability.Down() || r.config.Leaving(primary.ID) && request.Class.ReadOnly {
 		return rosegroup.TargetView{}, nil
 	}
-	if time.Since(view.TermVerifiedAt) > r.maxPrimaryAge(request.Class) {
+	if time.Since(view.TermVerifiedAt) > r.maxVerificationAge(request.Class) {
 		return rosegroup.TargetView{}, nil
 	}
 	if !primary.Status.Position.AtLeast(request.MinPosition) && primary.Status.Term < request.MinPosition.LogTerm {
@@ -170,14 +170,14 @@
 	return primary, nil
 }
 
-// maxPrimaryAge returns the longest time since the primary's term was last known to
-// be in force. A deposed primary that still answers has neither recent data nor a
-// quorum to confirm a write.
-func (r *Router) maxPrimaryAge(class rosemary.Class) time.Duration {
+// maxVerificationAge returns the longest time since the primary's term was last
+// known to be in force. A deposed primary that still answers has neither recent data
+// nor a quorum to confirm a write.
+func (r *Router) maxVerificationAge(class rosemary.Class) time.Duration {
 	if class.MaxAge > 0 {
 		return max(class.MaxAge-transitMargin, 0)
 	}
-	return max(defaultMaxPrimaryAge, maxPrimaryAgeWatches*r.config.Group.WatchTimeout())
+	return max(defaultMaxVerificationAge, verificationAgeWatches*r.config.Group.WatchTimeout())
 }
 
 // hasUnconfirmed reports whether the primary holds records that aren't confirmed.
@@ -186,7 +186,7 @@
 }
 
 // chooseReplica returns the less loaded of two random replicas that may serve the
-// request.
+// request (power of two choices).
 func (r *Router) chooseReplica(view rosegroup.View, request Request) (rosegroup.TargetView, bool) {
 	var eligible []rosegroup.TargetView
 	for _, t := range view.Targets {
@@ -252,7 +252,7 @@
 func (r *Router) stillValid(choice rosegroup.TargetView, replica bool, request Request) bool {
 	view, _ := r.config.Group.View()
 	if !replica {
-		return view.HasPrimary && view.Primary.ID == choice.ID && time.Since(view.TermVerifiedAt) <= r.maxPrimaryAge(request.Class)
+		return view.HasPrimary && view.Primary.ID == choice.ID && time.Since(view.TermVerifiedAt) <= r.maxVerificationAge(request.Class)
 	}
 	for _, t := range view.Targets {
 		if t.ID == choice.ID {
