--- a/pkg/rosecaller/block.go
+++ b/pkg/rosecaller/block.go
@@ -11,39 +11,39 @@
 // statement. Until the client has an answer, the transaction can be restarted
 // on another target.
 func (j *job) runFirstStatement(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
-	a, refusal := j.newAttempt(statement)
+	execution, refusal := j.newExecution(statement)
 	if refusal != nil {
 		j.setBeginFailed(statement)
 		return rosemary.Answer{}, refusal
 	}
 	for {
-		if refusal := j.beginTransaction(ctx, a); refusal != nil {
+		if refusal := j.beginTransaction(ctx, execution); refusal != nil {
 			j.setBeginFailed(statement)
 			return rosemary.Answer{}, refusal
 		}
 		if j.lease == nil {
-			if j.prepareRetry(ctx, a) {
+			if j.prepareRetry(ctx, execution) {
 				continue
 			}
 			j.setBeginFailed(statement)
 			return rosemary.Answer{}, statementNotRun()
 		}
 		target := j.lease.Target()
-		answer, refusal := j.runNextStatement(a.deadline, statement)
+		answer, refusal := j.runNextStatement(execution.deadline, statement)
 		if !j.canRestart(statement, answer, refusal) {
 			return answer, refusal
 		}
 		j.Rollback()
-		a.avoid = target
-		if !j.prepareRetry(ctx, a) {
+		execution.avoid = target
+		if !j.prepareRetry(ctx, execution) {
 			return answer, refusal
 		}
 		j.transactionState = rosemary.TransactionOpen
 	}
 }
 
-// setBeginFailed records that no target began the transaction. After a commit
-// the session is outside any transaction, else it has to roll back.
+// setBeginFailed records that no target began the transaction. A commit still
+// ends it; after any other statement the client has to roll back.
 func (j *job) setBeginFailed(statement rosemary.Statement) {
 	j.transactionState = rosemary.TransactionFailed
 	if statement.Kind == rosemary.StatementCommit {
@@ -69,26 +69,26 @@
 
 // beginTransaction acquires a connection and begins the transaction on it. If
 // it returns nil and the job has no lease, the caller should retry.
-func (j *job) beginTransaction(ctx context.Context, a *attempt) *rosemary.Refusal {
-	lease, refusal := a.group.Acquire(ctx, j.request(a, j.task.ReadOnly))
+func (j *job) beginTransaction(ctx context.Context, execution *execution) *rosemary.Refusal {
+	lease, refusal := execution.group.Acquire(ctx, j.request(execution, j.task.ReadOnly))
 	if refusal != nil {
 		return refusal
 	}
 	j.setTarget(lease)
 	begin := rosemary.Statement{Kind: rosemary.StatementBegin, ReadOnly: j.task.ReadOnly}
 	if !lease.Primary() {
-		begin.MinPosition = j.request(a, true).MinPosition
+		begin.MinPosition = j.request(execution, true).MinPosition
 		if begin.MinPosition.IsZero() {
 			lease.Release(true)
-			a.primary = true
+			execution.primaryOnly = true
 			return nil
 		}
 	}
-	setup, state := j.setupStatements(lease, a.statement)
-	answers, _, err := lease.Exchange(a.deadline, append(setup, begin)...)
+	setup, state := j.setupStatements(lease, execution.statement)
+	answers, _, err := lease.Exchange(execution.deadline, append(setup, begin)...)
 	if err != nil {
 		lease.Release(false)
-		a.avoid = lease.Target()
+		execution.avoid = lease.Target()
 		return nil
 	}
 	beginAnswer := answers[len(answers)-1]
@@ -97,8 +97,8 @@
 	}
 	if !allSucceeded(answers) || beginAnswer.TransactionState != rosemary.TransactionOpen {
 		lease.Release(allSucceeded(answers[:len(setup)]) && beginAnswer.TransactionState == rosemary.TransactionNone)
-		a.avoid = lease.Target()
-		a.primary = a.primary || beginAnswer.Failure == rosemary.FailureLagging && a.tries > 0
+		execution.avoid = lease.Target()
+		execution.primaryOnly = execution.primaryOnly || beginAnswer.Failure == rosemary.FailureLagging && execution.tries > 0
 		return nil
 	}
 	if lease.Primary() && !lease.StillPrimary() {
@@ -148,8 +148,8 @@
 }
 
 // finishCommit ends the transaction after the answer to its commit. The
-// outcome of writes is unknown if the commit may have failed after it ran, or
-// if the target may no longer have been the primary.
+// outcome of writes is unknown if the commit failed but may have taken effect,
+// or if the target may no longer have been the primary.
 func (j *job) finishCommit(answer rosemary.Answer) (rosemary.Answer, *rosemary.Refusal) {
 	confirmed := !j.wrote || j.lease.StillPrimary()
 	target := j.lease.Target()
--- a/pkg/rosecaller/carrier.go
+++ b/pkg/rosecaller/carrier.go
@@ -51,9 +51,10 @@
 	transactionState rosemary.TransactionState
 	lease            *rosefleet.Lease
 	wrote            bool
-	// target is the last target that the job had a lease on.
-	target  rosemary.TargetID
-	primary bool
+	// target is the last target that the job had a lease on, and
+	// targetIsPrimary is set if it was the primary of its group.
+	target          rosemary.TargetID
+	targetIsPrimary bool
 }
 
 var _ Transaction = (*job)(nil)
@@ -75,13 +76,13 @@
 }
 
 // setTarget records the target of a lease.
-func (j *job) setTarget(l *rosefleet.Lease) { j.target, j.primary = l.Target(), l.Primary() }
+func (j *job) setTarget(l *rosefleet.Lease) { j.target, j.targetIsPrimary = l.Target(), l.Primary() }
 
 func (j *job) result(answer rosemary.Answer, refusal *rosemary.Refusal) Result {
 	answer.TransactionState = j.transactionState
 	return Result{
 		Answer: answer, Refusal: refusal, MinPosition: j.task.MinPosition, MinPositionUnknown: j.task.MinPositionUnknown,
-		Target: j.target, Primary: j.primary, Open: j.lease != nil,
+		Target: j.target, Primary: j.targetIsPrimary, Open: j.lease != nil,
 	}
 }
 
--- a/pkg/rosecaller/prelude.go
+++ b/pkg/rosecaller/prelude.go
@@ -12,7 +12,7 @@
 // session that used it last, and the prepared statements, whose names all
 // sessions share.
 type sessionState struct {
-	values   map[string]string
+	settings map[string]string
 	prepared map[string]bool
 }
 
@@ -33,17 +33,17 @@
 // prepared statements to a connection, and its state once they have run.
 func (j *job) setupStatements(lease *rosefleet.Lease, statement rosemary.Statement) ([]rosemary.Statement, *sessionState) {
 	var statements []rosemary.Statement
-	next := &sessionState{values: j.task.Settings, prepared: make(map[string]bool)}
+	next := &sessionState{settings: j.task.Settings, prepared: make(map[string]bool)}
 	current, _ := lease.SessionState().(*sessionState)
-	if current != nil && containsNames(current.values, j.task.Settings) {
+	if current != nil && namesWithin(current.settings, j.task.Settings) {
 		next.prepared = current.prepared
 	} else if current != nil {
 		statements = append(statements, rosemary.Statement{Kind: rosemary.StatementReset})
 		current = nil
 	}
 	for name, value := range j.task.Settings {
-		if current != nil && current.values[name] == value {
-			if _, isSet := current.values[name]; isSet {
+		if current != nil && current.settings[name] == value {
+			if _, isSet := current.settings[name]; isSet {
 				continue
 			}
 		}
@@ -56,9 +56,9 @@
 	return statements, next
 }
 
-// containsNames reports whether other has every name that values has.
-func containsNames(values, other map[string]string) bool {
-	for name := range values {
+// namesWithin reports whether other has every name that settings has.
+func namesWithin(settings, other map[string]string) bool {
+	for name := range settings {
 		if _, has := other[name]; !has {
 			return false
 		}
--- a/pkg/rosecaller/refusal.go
+++ b/pkg/rosecaller/refusal.go
@@ -11,8 +11,8 @@
 // target was available. It is about as long as the last steps of a promotion.
 const noTargetRetryDelay = 200 * time.Millisecond
 
-func refuse(kind rosemary.RefusalKind, outcome rosemary.Outcome, message, remedy string, after time.Duration) *rosemary.Refusal {
-	return &rosemary.Refusal{Kind: kind, Outcome: outcome, Message: message, Remedy: remedy, RetryAfter: after}
+func refuse(kind rosemary.RefusalKind, outcome rosemary.Outcome, message, remedy string, retryAfter time.Duration) *rosemary.Refusal {
+	return &rosemary.Refusal{Kind: kind, Outcome: outcome, Message: message, Remedy: remedy, RetryAfter: retryAfter}
 }
 
 func transactionFailed() *rosemary.Refusal {
@@ -51,7 +51,7 @@
 	return refuse(rosemary.KindNoPrimary, rosemary.OutcomeNotRun, "no target could run the statement within its deadline and retry limits", "retry", noTargetRetryDelay)
 }
 
-func readUnanswered(after time.Duration) *rosemary.Refusal {
+func readUnanswered(waited time.Duration) *rosemary.Refusal {
 	return refuse(rosemary.KindDeadline, rosemary.OutcomeUnknown,
-		fmt.Sprintf("no target answered the read within %d ms", after.Milliseconds()), "retry", noTargetRetryDelay)
+		fmt.Sprintf("no target answered the read within %d ms", waited.Milliseconds()), "retry", noTargetRetryDelay)
 }
--- a/pkg/rosecaller/retry.go
+++ b/pkg/rosecaller/retry.go
@@ -2,7 +2,7 @@
 
 package rosecaller
 
-// repeatsLostWrites is true only in builds with the rosebroken tag, which
+// retriesUnansweredWrites is true only in builds with the rosebroken tag, which
 // break the guarantee that no write runs twice. The consistency checks must
 // detect such a build.
-const repeatsLostWrites = false
+const retriesUnansweredWrites = false
--- a/pkg/rosecaller/retry_broken.go
+++ b/pkg/rosecaller/retry_broken.go
@@ -2,6 +2,6 @@
 
 package rosecaller
 
-// repeatsLostWrites retries a write whose answer was lost, so that it may run
-// twice.
-const repeatsLostWrites = true
+// retriesUnansweredWrites has a write retried whose answer was lost, so that it
+// may run twice.
+const retriesUnansweredWrites = true
--- a/pkg/rosecaller/run.go
+++ b/pkg/rosecaller/run.go
@@ -21,29 +21,29 @@
 	answerMargin = 5 * time.Millisecond
 	// maxTries bounds how often one statement is tried.
 	maxTries = 12
-	// backoffUnit is doubled for every try that a statement has had, and
-	// is the unit of the wait before its next one.
-	backoffUnit = 5 * time.Millisecond
+	// backoffBase is the base of the exponential backoff. The wait before a
+	// try is backoffBase, doubled once for each earlier try.
+	backoffBase = 5 * time.Millisecond
 )
 
-// attempt is a statement with the state of its tries.
-type attempt struct {
+// execution is the state of one statement over all its tries.
+type execution struct {
 	statement rosemary.Statement
 	group     *rosefleet.Group
 	deadline  time.Time
 	started   time.Time
-	// primary is set once the statement has to run on the primary.
-	primary bool
-	avoid   rosemary.TargetID
-	tries   int
+	// primaryOnly is set once the statement has to run on the primary.
+	primaryOnly bool
+	avoid       rosemary.TargetID
+	tries       int
 }
 
-func (j *job) newAttempt(statement rosemary.Statement) (*attempt, *rosemary.Refusal) {
+func (j *job) newExecution(statement rosemary.Statement) (*execution, *rosemary.Refusal) {
 	group, found := j.executor.config.Group(j.task.Route.Group)
 	if !found {
 		return nil, unknownGroup(j.task.Route.Group)
 	}
-	return &attempt{
+	return &execution{
 		statement: statement,
 		group:     group,
 		started:   time.Now(),
@@ -51,23 +51,23 @@
 	}, nil
 }
 
-// request returns the requirements on the attempt's target. Reads that accept
+// request returns the requirements on the statement's target. Reads that accept
 // stale data may run on a replica if the log position that it must have
 // reached is known.
-func (j *job) request(a *attempt, readOnly bool) rosefleet.Request {
+func (j *job) request(execution *execution, readOnly bool) rosefleet.Request {
 	request := rosefleet.Request{
 		Primary:      true,
 		Priority:     j.task.Route.Priority,
-		Deadline:     a.deadline,
+		Deadline:     execution.deadline,
 		SoftDeadline: j.task.SoftDeadline,
 		SessionID:    j.task.SessionID,
-		Avoid:        a.avoid,
+		Avoid:        execution.avoid,
 	}
 	class := j.task.Route.Class
-	if a.primary || !readOnly || class.MaxAge <= maxAgeMargin || class.ReadYourWrites && j.task.MinPositionUnknown {
+	if execution.primaryOnly || !readOnly || class.MaxAge <= maxAgeMargin || class.ReadYourWrites && j.task.MinPositionUnknown {
 		return request
 	}
-	minPosition, known := a.group.MinPosition(class.MaxAge - maxAgeMargin)
+	minPosition, known := execution.group.MinPosition(class.MaxAge - maxAgeMargin)
 	if !known {
 		return request
 	}
@@ -78,35 +78,35 @@
 	return request
 }
 
-// prepareRetry reports whether the attempt may be retried. The first retry is
-// free, further ones draw on the retry budget, and from the third on it waits
-// with exponential backoff first.
-func (j *job) prepareRetry(ctx context.Context, a *attempt) bool {
-	a.tries++
-	if a.tries >= maxTries || ctx.Err() != nil || !time.Now().Before(a.deadline) {
+// prepareRetry reports whether the statement may be retried. The first retry is
+// free, and further ones draw on the retry budget. Before the third and later
+// ones, prepareRetry waits with exponential backoff.
+func (j *job) prepareRetry(ctx context.Context, execution *execution) bool {
+	execution.tries++
+	if execution.tries >= maxTries || ctx.Err() != nil || !time.Now().Before(execution.deadline) {
 		return false
 	}
-	if a.tries > 1 && !j.executor.config.RetryBudget.TryWithdraw() {
+	if execution.tries > 1 && !j.executor.config.RetryBudget.TryWithdraw() {
 		return false
 	}
-	if a.tries > 2 {
-		time.Sleep(min(backoffUnit<<a.tries, time.Until(a.deadline)))
+	if execution.tries > 2 {
+		time.Sleep(min(backoffBase<<execution.tries, time.Until(execution.deadline)))
 	}
 	return true
 }
 
 // runAutocommit runs a statement outside a transaction.
 func (j *job) runAutocommit(ctx context.Context, statement rosemary.Statement) (rosemary.Answer, *rosemary.Refusal) {
-	a, refusal := j.newAttempt(statement)
+	execution, refusal := j.newExecution(statement)
 	if refusal != nil {
 		return rosemary.Answer{}, refusal
 	}
 	for {
-		lease, refusal := a.group.Acquire(ctx, j.request(a, !statement.Writes))
+		lease, refusal := execution.group.Acquire(ctx, j.request(execution, !statement.Writes))
 		if refusal != nil {
 			return rosemary.Answer{}, refusal
 		}
-		answer, result := j.try(a, lease)
+		answer, result := j.try(execution, lease)
 		switch result {
 		case tryDone:
 			return answer, nil
@@ -114,22 +114,22 @@
 			j.task.MinPositionUnknown = true
 			return rosemary.Answer{}, outcomeUnknown(lease.Target())
 		}
-		if !j.prepareRetry(ctx, a) {
-			return j.failure(a, answer)
+		if !j.prepareRetry(ctx, execution) {
+			return j.failure(execution, answer)
 		}
 	}
 }
 
 // failure returns the target's last error, or a refusal if there is none. The
 // statement has not run, or it is a read.
-func (j *job) failure(a *attempt, answer rosemary.Answer) (rosemary.Answer, *rosemary.Refusal) {
+func (j *job) failure(execution *execution, answer rosemary.Answer) (rosemary.Answer, *rosemary.Refusal) {
 	if answer.Failure != rosemary.FailureNone {
 		return answer, nil
 	}
-	if a.statement.Writes {
+	if execution.statement.Writes {
 		return rosemary.Answer{}, statementNotRun()
 	}
-	return rosemary.Answer{}, readUnanswered(time.Since(a.started))
+	return rosemary.Answer{}, readUnanswered(time.Since(execution.started))
 }
 
 // tryResult is the outcome of one try.
@@ -144,24 +144,24 @@
 	tryUnknown
 )
 
-// try runs the attempt's statement once.
-func (j *job) try(a *attempt, lease *rosefleet.Lease) (rosemary.Answer, tryResult) {
-	statement := a.statement
+// try runs the statement once.
+func (j *job) try(execution *execution, lease *rosefleet.Lease) (rosemary.Answer, tryResult) {
+	statement := execution.statement
 	j.setTarget(lease)
 	setup, state := j.setupStatements(lease, statement)
 	if !lease.Primary() {
-		statement.MinPosition = j.request(a, true).MinPosition
+		statement.MinPosition = j.request(execution, true).MinPosition
 		if statement.MinPosition.IsZero() {
 			lease.Release(true)
-			a.primary = true
+			execution.primaryOnly = true
 			return rosemary.Answer{}, tryRetry
 		}
 	}
-	answers, sent, err := lease.Exchange(j.tryDeadline(a), append(setup, statement)...)
+	answers, sent, err := lease.Exchange(j.tryDeadline(execution), append(setup, statement)...)
 	if err != nil {
 		lease.Release(false)
-		a.avoid = lease.Target()
-		if sent && statement.Writes && !repeatsLostWrites {
+		execution.avoid = lease.Target()
+		if sent && statement.Writes && !retriesUnansweredWrites {
 			return rosemary.Answer{}, tryUnknown
 		}
 		return rosemary.Answer{}, tryRetry
@@ -176,28 +176,28 @@
 	}
 	lease.SetSessionState(state)
 	answer := answers[len(setup)]
-	result := j.classify(a, lease, answer)
+	result := j.classify(execution, lease, answer)
 	lease.Release(answer.TransactionState == rosemary.TransactionNone)
 	return answer, result
 }
 
 // tryDeadline returns the deadline of the current try. It is shorter for the
 // first try of a read, which can still be retried on another target.
-func (j *job) tryDeadline(a *attempt) time.Time {
-	if a.statement.Writes || a.tries > 0 {
-		return a.deadline
+func (j *job) tryDeadline(execution *execution) time.Time {
+	if execution.statement.Writes || execution.tries > 0 {
+		return execution.deadline
 	}
 	tryDeadline := time.Now().Add(firstReadTimeout)
-	if tryDeadline.Before(a.deadline) {
+	if tryDeadline.Before(execution.deadline) {
 		return tryDeadline
 	}
-	return a.deadline
+	return execution.deadline
 }
 
 // classify decides whether an answer is final, is retried, or leaves the
 // outcome of a write unknown.
-func (j *job) classify(a *attempt, lease *rosefleet.Lease, answer rosemary.Answer) tryResult {
-	writes := a.statement.Writes
+func (j *job) classify(execution *execution, lease *rosefleet.Lease, answer rosemary.Answer) tryResult {
+	writes := execution.statement.Writes
 	switch answer.Failure {
 	case rosemary.FailureNone:
 		if lease.Primary() && !lease.StillPrimary() {
@@ -211,20 +211,20 @@
 		}
 		return tryDone
 	case rosemary.FailureLagging:
-		a.primary = a.tries > 0
-		a.avoid = lease.Target()
+		execution.primaryOnly = execution.tries > 0
+		execution.avoid = lease.Target()
 		return tryRetry
 	case rosemary.FailureReadOnly, rosemary.FailureBusy:
-		a.avoid = lease.Target()
+		execution.avoid = lease.Target()
 		return tryRetry
 	case rosemary.FailureUnknownStatement:
-		lease.SetSessionState(&sessionState{values: j.task.Settings, prepared: make(map[string]bool)})
+		lease.SetSessionState(&sessionState{settings: j.task.Settings, prepared: make(map[string]bool)})
 		return tryRetry
 	case rosemary.FailureExecution, rosemary.FailureTimeout:
 		if writes {
 			return tryDone
 		}
-		a.avoid = lease.Target()
+		execution.avoid = lease.Target()
 		return tryRetry
 	}
 	return tryDone
--- a/pkg/rosecaller/session.go
+++ b/pkg/rosecaller/session.go
@@ -1,6 +1,6 @@
 // Package rosecaller implements client sessions independently of the client
 // protocol: settings, prepared statements, transactions, read-your-writes
-// positions, and retries that report the true outcome of a statement.
+// positions, and retries that never run a write twice.
 package rosecaller
 
 import (
@@ -43,11 +43,11 @@
 
 // Session is the session of one client. It runs one statement at a time.
 type Session struct {
-	config Config
-	id     uint64
-	values map[string]string
-	// prepared maps the client's names to prepare statements whose names are
-	// shared by all sessions.
+	config   Config
+	id       uint64
+	settings map[string]string
+	// prepared maps the client's names of prepared statements to the prepare
+	// statements that targets get, whose names all sessions share.
 	prepared map[string]rosemary.Statement
 	// minPosition is the log position of the session's last acknowledged
 	// write.
@@ -121,12 +121,12 @@
 	}
 	switch statement.Kind {
 	case rosemary.StatementSet:
-		values := maps.Clone(s.values)
-		if values == nil {
-			values = make(map[string]string)
+		settings := maps.Clone(s.settings)
+		if settings == nil {
+			settings = make(map[string]string)
 		}
-		values[statement.Name] = statement.Payload
-		s.values = values
+		settings[statement.Name] = statement.Payload
+		s.settings = settings
 		return localAnswer(), nil
 	case rosemary.StatementPrepare:
 		s.prepared[statement.Name] = withSharedName(statement)
@@ -166,7 +166,7 @@
 	if statement.Kind == rosemary.StatementCommit && s.transactionState != rosemary.TransactionOpen {
 		return s.commitOutsideTransaction()
 	}
-	task := Task{SessionID: s.id, Settings: s.values, MinPosition: s.minPosition, MinPositionUnknown: s.minPositionUnknown}
+	task := Task{SessionID: s.id, Settings: s.settings, MinPosition: s.minPosition, MinPositionUnknown: s.minPositionUnknown}
 	if statement.Kind == rosemary.StatementExecute {
 		p, known := s.prepared[statement.Name]
 		if !known {
--- a/pkg/rosecaller/session_test.go
+++ b/pkg/rosecaller/session_test.go
@@ -135,11 +135,11 @@
 		state                rosemary.TransactionState
 		positionUnknown      bool
 	}{
-		{"a read", rosemary.StatementRead, false, false, rosemary.OutcomeUnknown, rosemary.TransactionNone, false},
-		{"a write", rosemary.StatementWrite, false, false, rosemary.OutcomeUnknown, rosemary.TransactionNone, true},
-		{"a write of a transaction", rosemary.StatementWrite, true, true, rosemary.OutcomeNotRun, rosemary.TransactionFailed, false},
-		{"a commit of writes", rosemary.StatementCommit, true, true, rosemary.OutcomeUnknown, rosemary.TransactionNone, true},
-		{"a commit of reads", rosemary.StatementCommit, true, false, rosemary.OutcomeNotRun, rosemary.TransactionNone, false},
+		{"read", rosemary.StatementRead, false, false, rosemary.OutcomeUnknown, rosemary.TransactionNone, false},
+		{"write", rosemary.StatementWrite, false, false, rosemary.OutcomeUnknown, rosemary.TransactionNone, true},
+		{"write in a transaction", rosemary.StatementWrite, true, true, rosemary.OutcomeNotRun, rosemary.TransactionFailed, false},
+		{"commit after writes", rosemary.StatementCommit, true, true, rosemary.OutcomeUnknown, rosemary.TransactionNone, true},
+		{"commit after reads", rosemary.StatementCommit, true, false, rosemary.OutcomeNotRun, rosemary.TransactionNone, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/pkg/rosecaller/task.go
+++ b/pkg/rosecaller/task.go
@@ -17,7 +17,7 @@
 	Statement rosemary.Statement
 	// ReadOnly is set in a transaction that only reads.
 	ReadOnly bool
-	// Values are the session's settings.
+	// Settings maps the names of the session's settings to their values.
 	Settings map[string]string
 	// Prepared is the prepare statement that an execute refers to; zero for
 	// other statements.
