--- a/pkg/roserelay/client.go
+++ b/pkg/roserelay/client.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// Path is the HTTP path at which proxies accept links.
+	// Path is the HTTP path at which proxies accept WebSocket connections.
 	Path = "/tasks"
 	// dialTimeout bounds the time to connect to a home proxy.
 	dialTimeout = 400 * time.Millisecond
@@ -58,11 +58,11 @@
 	links map[string]*link
 }
 
-// link is the connection to one home proxy.
+// link is the WebSocket connection to one home proxy.
 type link struct {
 	address string
-	// opened is closed once conn or err is set.
-	opened   chan struct{}
+	// dialed is closed when the dial has ended and conn or err is set.
+	dialed   chan struct{}
 	failedAt time.Time
 	conn     *websocket.Conn
 	err      error
@@ -72,7 +72,8 @@
 	mu         sync.Mutex
 	lastNumber uint64
 	pending    map[uint64]chan *rosewire.Result
-	// openTransactions need heartbeats between their statements.
+	// openTransactions is the number of open transactions, which need heartbeats
+	// between their statements.
 	openTransactions int
 	lastReceivedAt   time.Time
 	lastSentAt       time.Time
@@ -125,7 +126,7 @@
 	return &remoteTransaction{link: l, number: number, wrote: task.Statement.Writes}, result, Answered
 }
 
-// remoteTransaction is open on a home proxy.
+// remoteTransaction is a transaction that is open on a home proxy.
 type remoteTransaction struct {
 	link   *link
 	number uint64
@@ -138,7 +139,7 @@
 // Execute runs a further statement of the transaction.
 func (r *remoteTransaction) Execute(ctx context.Context, task rosecaller.Task) rosecaller.Result {
 	r.wrote = r.wrote || task.Statement.Writes
-	result, _, delivery := r.link.execute(ctx, &rosewire.Order{Do: doNext, Transaction: &r.number}, task)
+	result, _, delivery := r.link.execute(ctx, &rosewire.Order{Do: doExecute, Transaction: &r.number}, task)
 	switch delivery {
 	case NotSent:
 		result = rosecaller.ConnectionLostResult(task, "", true, false)
@@ -154,7 +155,7 @@
 }
 
 // Rollback rolls the transaction back. A home proxy that can't be reached does
-// so by itself when heartbeats stop.
+// so by itself after orphanTimeout.
 func (r *remoteTransaction) Rollback() {
 	if r.ended {
 		return
@@ -177,21 +178,22 @@
 func (c *Client) link(home rosemary.Member) (*link, error) {
 	c.mu.Lock()
 	l := c.links[home.Address]
-	if l == nil || l.canReopen() {
-		l = &link{address: home.Address, opened: make(chan struct{}), pending: make(map[uint64]chan *rosewire.Result)}
+	if l == nil || l.canReplace() {
+		l = &link{address: home.Address, dialed: make(chan struct{}), pending: make(map[uint64]chan *rosewire.Result)}
 		l.context, l.cancel = context.WithCancel(c.context)
 		c.links[home.Address] = l
 		go c.open(l, home)
 	}
 	c.mu.Unlock()
-	<-l.opened
+	<-l.dialed
 	return l, l.err
 }
 
-// canReopen reports whether a link has ended and may be replaced by a new one.
-func (l *link) canReopen() bool {
+// canReplace reports whether a link has ended and may be replaced by a new one.
+// A failed dial may be repeated after redialDelay.
+func (l *link) canReplace() bool {
 	select {
-	case <-l.opened:
+	case <-l.dialed:
 	default:
 		return false
 	}
@@ -209,12 +211,12 @@
 		klog.InfoS("home not reached", "home", home.Proxy, "err", roselog.Err(err))
 		l.failedAt, l.err = time.Now(), trace.ConnectionProblem(err, "connecting to home proxy %s", home.Proxy)
 		l.cancel()
-		close(l.opened)
+		close(l.dialed)
 		return
 	}
 	conn.SetReadLimit(maxMessageBytes)
 	l.conn, l.lastReceivedAt, l.lastSentAt = conn, time.Now(), time.Now()
-	close(l.opened)
+	close(l.dialed)
 	go l.sendHeartbeats()
 	l.receiveResults()
 	l.cancel()
@@ -279,8 +281,8 @@
 	}
 }
 
-// failPending ends all pending calls without a result, and returns their
-// number.
+// failPending ends all pending calls without a result, and returns how many
+// there were.
 func (l *link) failPending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/roserelay/codec.go
+++ b/pkg/roserelay/codec.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	// heartbeatInterval is the interval between heartbeats on a busy link.
+	// heartbeatInterval is the interval between heartbeats on a busy link, one
+	// with pending calls or open transactions.
 	heartbeatInterval = 400 * time.Millisecond
 	// heartbeatTimeout closes a busy link on which nothing was received for
 	// three heartbeat intervals.
 	heartbeatTimeout = 1200 * time.Millisecond
 	// sendTimeout bounds the time to send one message.
 	sendTimeout = 2 * time.Second
-	// maxMessageBytes bounds the size of a message; a client's message is at
-	// most half as long.
+	// maxMessageBytes bounds the size of a message. A client's message is at
+	// most half as long, which leaves room for the rest of its task.
 	maxMessageBytes = 2 << 20
 )
 
@@ -33,7 +34,7 @@
 const (
 	doRun       = "Run"
 	doBegin     = "Begin"
-	doNext      = "Next"
+	doExecute   = "Next"
 	doRollback  = "Rollback"
 	doHeartbeat = "Beat"
 )
@@ -72,7 +73,7 @@
 	}
 }
 
-// encodeTask sends deadlines as remaining time, because the clocks of proxies
+// encodeTask encodes deadlines as remaining time, because the clocks of proxies
 // differ.
 func encodeTask(t rosecaller.Task) *rosewire.Task {
 	task := &rosewire.Task{
--- a/pkg/roserelay/relay_test.go
+++ b/pkg/roserelay/relay_test.go
@@ -18,7 +18,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/roserelay"
 )
 
-// executor stands in for that of a home proxy. It records tasks and counts
+// executor is a fake executor of a home proxy. It records tasks and counts
 // transactions.
 type executor struct {
 	latency time.Duration
@@ -151,7 +151,7 @@
 	})
 }
 
-func TestUnreachableHomeIsNotSent(t *testing.T) {
+func TestTaskForUnreachableHomeIsNotSent(t *testing.T) {
 	runRelay(t, 0, func(c *qt.C, e *executor, network *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
 		network.SetBlocked(func(_, _ rosenet.Place) bool { return true })
 		_, delivery := client.Run(context.Background(), home, task(rosemary.StatementWrite, "w1"))
--- a/pkg/roserelay/server.go
+++ b/pkg/roserelay/server.go
@@ -27,8 +27,8 @@
 	config  ServerConfig
 	context context.Context
 	cancel  context.CancelFunc
-	// linkCount numbers the links, so that session IDs differ between them.
-	linkCount atomic.Uint64
+	// lastLinkNumber is part of session IDs, so that they differ between links.
+	lastLinkNumber atomic.Uint64
 
 	mu        sync.Mutex
 	deadlines rosecaller.DrainDeadlines
@@ -36,8 +36,8 @@
 }
 
 // orphanTimeout is how long a transaction stays open while nothing is received
-// from its proxy. It is as long as a target keeps a transaction whose
-// connection is silent.
+// from its proxy. Targets keep a transaction on a silent connection for the same
+// time.
 const orphanTimeout = 3 * time.Second
 
 // serverLink is a link from another proxy.
@@ -55,13 +55,13 @@
 	cancelledBegins map[uint64]bool
 }
 
-// transaction is opened here by another proxy.
+// transaction is a transaction on this proxy that another proxy has begun.
 type transaction struct {
 	rosecaller.Transaction
 	// mu is held while a statement runs.
 	mu sync.Mutex
-	// rolledBack is set once abort has rolled the transaction back, for a
-	// drain, for the other proxy, or when the link ended.
+	// rolledBack is set once abort has rolled the transaction back: during a
+	// drain, at the other proxy's request, or after its link ended.
 	rolledBack bool
 }
 
@@ -79,7 +79,7 @@
 		return
 	}
 	conn.SetReadLimit(maxMessageBytes)
-	l := &serverLink{server: s, conn: conn, sessionIDBase: s.linkCount.Add(1) << 32, transactions: make(map[uint64]*transaction), cancelledBegins: make(map[uint64]bool)}
+	l := &serverLink{server: s, conn: conn, sessionIDBase: s.lastLinkNumber.Add(1) << 32, transactions: make(map[uint64]*transaction), cancelledBegins: make(map[uint64]bool)}
 	ctx, cancel := context.WithCancel(s.context)
 	defer cancel()
 	s.mu.Lock()
@@ -210,9 +210,9 @@
 	}
 }
 
-// watchHeartbeats closes a link that has open transactions but receives
-// nothing: its proxy is gone, and its transactions must not hold resources at
-// their targets.
+// watchHeartbeats closes a link that has open transactions but has received
+// nothing for orphanTimeout. Its proxy is presumed dead, and its transactions
+// must not hold resources at their targets.
 func (l *serverLink) watchHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -246,7 +246,7 @@
 	task.SessionID |= l.sessionIDBase
 	var result rosecaller.Result
 	switch {
-	case order.Do == doNext:
+	case order.Do == doExecute:
 		result = l.execute(ctx, orZero(order.Transaction), task)
 	case l.server.draining():
 		result = refusalResult(task, drainingRefusal())
@@ -337,12 +337,12 @@
 	return rosecaller.Result{Refusal: refusal, MinPosition: task.MinPosition, MinPositionUnknown: task.MinPositionUnknown}
 }
 
-// rolledBackResult is the result of a statement whose transaction was rolled
-// back here.
+// rolledBackResult is the result of a statement whose transaction this proxy
+// has rolled back or doesn't know.
 func rolledBackResult(task rosecaller.Task) rosecaller.Result {
 	result := refusalResult(task, &rosemary.Refusal{
 		Kind: rosemary.KindAborted, Outcome: rosemary.OutcomeNotRun,
-		Message: "the transaction was rolled back because the proxy that ran it is shutting down", Remedy: "run the transaction again", RetryAfter: time.Millisecond,
+		Message: "the home proxy of the group has rolled back the transaction, for example because it is shutting down", Remedy: "run the transaction again", RetryAfter: time.Millisecond,
 	})
 	if task.Statement.Kind != rosemary.StatementCommit {
 		result.Answer.TransactionState = rosemary.TransactionFailed
