--- a/pkg/rosesession/token.go
+++ b/pkg/rosesession/token.go
@@ -29,8 +29,9 @@
 	// MinPosition is the log position that a target must have reached to serve
 	// the session's reads.
 	MinPosition rosemary.Position
-	// MinPositionUnknown is set until MinPosition has been sampled: after a
-	// write of unknown outcome, and in a session known by its name only.
+	// MinPositionUnknown is set after a write of unknown outcome, and when a
+	// client resumes a session by its name without a token. It is cleared
+	// once MinPosition is at least the group's current log position.
 	MinPositionUnknown bool
 }
 
@@ -48,14 +49,14 @@
 }
 
 // WithSampledMinPosition returns a copy whose MinPosition is known and at least
-// position.
+// position, which is at or after every write that the group has acknowledged.
 func (s Session) WithSampledMinPosition(position rosemary.Position) Session {
 	s.MinPositionUnknown = false
 	return s.WithMinPosition(position)
 }
 
-// WithUnknownMinPosition returns a copy whose MinPosition has to be sampled,
-// because the position of a write of unknown outcome is not known.
+// WithUnknownMinPosition returns a copy whose MinPosition is unknown, for a
+// session with a write of unknown outcome.
 func (s Session) WithUnknownMinPosition() Session {
 	s.MinPositionUnknown = true
 	return s
@@ -89,7 +90,7 @@
 	return &Keys{keys: keys}, nil
 }
 
-// payload is the signed part of a token.
+// payload is the part of a token that its signature covers.
 type payload struct {
 	Name     string
 	Tenant   string
@@ -123,7 +124,7 @@
 	body, errBody := decode(encodedBody)
 	signature, errSignature := decode(encodedSignature)
 	if !found || errBody != nil || errSignature != nil {
-		return Session{}, badToken("malformed token")
+		return Session{}, badToken("it is malformed")
 	}
 	if !k.hasSigned(body, signature) {
 		return Session{}, badToken("the signature matches none of the token keys")
@@ -168,6 +169,6 @@
 		Kind:    rosemary.KindBadToken,
 		Outcome: rosemary.OutcomeNotRun,
 		Message: "the session token was refused: " + message,
-		Remedy:  "set rosemary.token to the latest token unchanged, or set only rosemary.session",
+		Remedy:  "set rosemary.token to the unmodified latest token of the session, or set rosemary.session to its name instead",
 	}
 }
--- a/pkg/rosesession/token_test.go
+++ b/pkg/rosesession/token_test.go
@@ -24,14 +24,14 @@
 	c.Assert(err, qt.IsNil)
 	c.Check(verified, qt.DeepEquals, session)
 	for name, attempt := range map[string]func() error{
-		"retired key":      func() error { _, err := rotated.Verify(token, "clerk", "db"); return err },
-		"other tenant":     func() error { _, err := rotating.Verify(token, "runner", "db"); return err },
-		"other database":   func() error { _, err := rotating.Verify(token, "clerk", "other"); return err },
-		"changed":          func() error { _, err := rotating.Verify("A"+token[1:], "clerk", "db"); return err },
-		"without a dot":    func() error { _, err := rotating.Verify("token", "clerk", "db"); return err },
-		"cut off":          func() error { _, err := rotating.Verify(token[:len(token)-2], "clerk", "db"); return err },
-		"of a short key":   func() error { _, err := rosesession.NewKeys([]byte("short")); return err },
-		"of no key at all": func() error { _, err := rosesession.NewKeys(); return err },
+		"retired key":       func() error { _, err := rotated.Verify(token, "clerk", "db"); return err },
+		"other tenant":      func() error { _, err := rotating.Verify(token, "runner", "db"); return err },
+		"other database":    func() error { _, err := rotating.Verify(token, "clerk", "other"); return err },
+		"altered token":     func() error { _, err := rotating.Verify("A"+token[1:], "clerk", "db"); return err },
+		"token without dot": func() error { _, err := rotating.Verify("token", "clerk", "db"); return err },
+		"truncated token":   func() error { _, err := rotating.Verify(token[:len(token)-2], "clerk", "db"); return err },
+		"short key":         func() error { _, err := rosesession.NewKeys([]byte("short")); return err },
+		"no key":            func() error { _, err := rosesession.NewKeys(); return err },
 	} {
 		c.Check(attempt(), qt.IsNotNil, qt.Commentf("%s", name))
 	}
--- a/pkg/rosestatement/kind.go
+++ b/pkg/rosestatement/kind.go
@@ -19,11 +19,12 @@
 	KindProxyShow
 	// KindSessionSet sets a setting for the whole session.
 	KindSessionSet
-	// KindReset resets a setting, or all.
+	// KindReset resets one setting or all settings.
 	KindReset
 	// KindDiscard discards the session's state.
 	KindDiscard
-	// KindDeallocate drops a statement that was prepared through the protocol.
+	// KindDeallocate drops a statement prepared through the protocol; the SQL
+	// statement PREPARE is unsupported.
 	KindDeallocate
 	// KindUnsupported needs a dedicated connection to the target.
 	KindUnsupported
--- a/pkg/rosestatement/scan.go
+++ b/pkg/rosestatement/scan.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// maxWords is the number of leading words kept of each statement.
+// maxWords bounds the number of leading words kept of each statement.
 const maxWords = 4
 
-// Script is the text of one query message.
+// Script holds what Scan found in the text of one query message.
 type Script struct {
 	Statements []Statement
 	Tags       Tags
@@ -18,7 +18,7 @@
 
 // Statement is one statement of a script.
 type Statement struct {
-	// Words are the leading words, in lower case unless quoted.
+	// Words are the leading words, at most maxWords, in lower case unless quoted.
 	Words []string
 	// Value is the first token after "=" or TO in a SET.
 	Value string
@@ -28,7 +28,7 @@
 type Tags struct {
 	// Class names the statement's class.
 	Class string
-	// Request identifies the request across retries.
+	// RequestID identifies the request across retries.
 	RequestID string
 }
 
@@ -95,6 +95,9 @@
 		s.addToken(strings.ToLower(rest[:end]))
 	default:
 		s.offset++
+		// As a word, the byte keeps a statement that begins with it from being
+		// dropped as empty. A parenthesis is skipped, so that the first word of
+		// (SELECT ...) is the keyword.
 		if c > ' ' && c != '(' && len(s.current.Words) == 0 {
 			s.current.Words = append(s.current.Words, string(c))
 		}
@@ -173,6 +176,8 @@
 	return c == '_' || c == '.' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
 }
 
+// lengthThrough returns the length of text up to and including the first end,
+// or of all text if there is none.
 func lengthThrough(text, end string) int {
 	i := strings.Index(text, end)
 	if i < 0 {
