--- a/pkg/rosepeer/homes.go
+++ b/pkg/rosepeer/homes.go
@@ -8,9 +8,10 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// WeightedHomes returns the home proxies of a key, which hold connections for
-// it: perZone members of each availability zone, chosen by weighted rendezvous
-// hashing. Adding or removing a member reassigns only that member's place.
+// WeightedHomes returns the home proxies of a group, which hold connections to
+// its targets: perZone members of each availability zone, chosen by weighted
+// rendezvous hashing of the key. Adding or removing a member reassigns only that
+// member's place.
 func WeightedHomes(key string, members []rosemary.Member, perZone int) []rosemary.Member {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b rosemary.Member) int {
--- a/pkg/rosepeer/homes_test.go
+++ b/pkg/rosepeer/homes_test.go
@@ -31,7 +31,7 @@
 	qt.Check(t, zones, qt.DeepEquals, map[rosemary.Zone]int{"z0": 2, "z1": 2, "z2": 2})
 }
 
-func TestWeightedHomesMoveLittle(t *testing.T) {
+func TestWeightedHomesKeepOthersOnRemoval(t *testing.T) {
 	members := weightedMembers(30, func(int) int { return 1 })
 	before := rosepeer.WeightedHomes("db", members, 2)
 	removed := before[0].Proxy
@@ -41,12 +41,12 @@
 			remaining = append(remaining, m)
 		}
 	}
-	kept := make(map[rosemary.ProxyID]bool)
+	after := make(map[rosemary.ProxyID]bool)
 	for _, m := range rosepeer.WeightedHomes("db", remaining, 2) {
-		kept[m.Proxy] = true
+		after[m.Proxy] = true
 	}
 	for _, m := range before[1:] {
-		qt.Check(t, kept[m.Proxy], qt.IsTrue, qt.Commentf("%s", m.Proxy))
+		qt.Check(t, after[m.Proxy], qt.IsTrue, qt.Commentf("%s", m.Proxy))
 	}
 }
 
@@ -58,16 +58,16 @@
 		}
 		return 1
 	})
-	large, all := 0, 0
+	heavy, all := 0, 0
 	for key := range 1000 {
 		for _, h := range rosepeer.WeightedHomes(fmt.Sprint("db", key), members, 1) {
 			all++
 			if h.Weight == 4 {
-				large++
+				heavy++
 			}
 		}
 	}
-	share := float64(large) / float64(all)
+	share := float64(heavy) / float64(all)
 	// Each zone has one member of weight 4 and nine of weight 1.
 	qt.Check(t, share > 0.26 && share < 0.36, qt.IsTrue, qt.Commentf("share of the heavy proxies %.3f, expected about 4/13", share))
 }
--- a/pkg/rosepeer/link.go
+++ b/pkg/rosepeer/link.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// addLink registers l as the link to its peer, replacing an older one.
+// addLink makes l the link for messages to its peer; an older link stays open
+// for receiving. It returns false if the mesh is closed.
 func (m *Mesh) addLink(l *link) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/rosepeer/mesh.go
+++ b/pkg/rosepeer/mesh.go
@@ -17,7 +17,8 @@
 
 const (
 	defaultTickInterval = 25 * time.Millisecond
-	// redialInterval separates connection attempts to one neighbour.
+	// redialInterval is the time between the time-out of one connection attempt
+	// to a neighbour and the next attempt.
 	redialInterval = 250 * time.Millisecond
 	dialTimeout    = time.Second
 	sendTimeout    = 2 * time.Second
@@ -39,15 +40,16 @@
 	TLS *tls.Config
 	// OnEvent receives changes. It must not block.
 	OnEvent func(Event)
-	// OnCancel receives a cancel request whose session the sending peer did not
-	// find.
+	// OnCancel receives a cancel request for a session that isn't at the peer
+	// that sent it.
 	OnCancel func(pid, secret uint32)
 	// BundlePart returns the bundle part with that digest, or the manifest in
 	// force for an empty digest.
 	BundlePart func(digest string) (string, bool)
-	// OnConnectionRequest answers a peer's request for connections.
+	// OnConnectionRequest answers a peer's request for additional connections
+	// to a target.
 	OnConnectionRequest func(from rosemary.ProxyID, ask rosewire.Ask) rosewire.Grant
-	// OnConnectionGrant receives a peer's grant of connections.
+	// OnConnectionGrant receives the answer to RequestConnections.
 	OnConnectionGrant func(rosewire.Grant)
 	// OnQuestion answers a peer's question, and may block; nil leaves questions
 	// unanswered.
@@ -70,11 +72,13 @@
 	// done is closed when Run ends, to stop links that peers opened.
 	done chan struct{}
 
-	mu        sync.Mutex
-	node      *Node
-	links     map[rosemary.ProxyID]*link
-	dialedAt  map[rosemary.ProxyID]time.Time
-	fetches   map[fetchKey][]chan string
+	mu       sync.Mutex
+	node     *Node
+	links    map[rosemary.ProxyID]*link
+	dialedAt map[rosemary.ProxyID]time.Time
+	// fetches holds the callers of FetchPart that wait for a part.
+	fetches map[fetchKey][]chan string
+	// queries holds the reply channels of open queries by number.
 	queries   map[uint64]chan<- PeerReply
 	lastQuery uint64
 	closed    bool
@@ -232,7 +236,7 @@
 	m.send(Envelope{to, message})
 }
 
-// RequestConnections asks a peer for connections to a target;
+// RequestConnections asks a peer for additional connections to a target;
 // Config.OnConnectionGrant receives the answer.
 func (m *Mesh) RequestConnections(to rosemary.ProxyID, ask rosewire.Ask) {
 	m.sendTo(to, rosewire.Message{Ask: &ask})
--- a/pkg/rosepeer/neighbours.go
+++ b/pkg/rosepeer/neighbours.go
@@ -9,15 +9,18 @@
 )
 
 var (
-	// zoneOffsets are the distances to neighbours on the ring of a zone.
+	// zoneOffsets are the distances, in both directions, to neighbours on the
+	// ring of a zone.
 	zoneOffsets = []int{1, 3, 9, 27}
-	// crossZoneOffsets are the distances to neighbours on the ring of zones.
+	// crossZoneOffsets are the distances, in both directions, to the zones on
+	// the ring of zones in which there are neighbours.
 	crossZoneOffsets = []int{1, 4}
 )
 
 // Neighbours returns the proxies that this one sends to and monitors: all
 // members up to FullMeshSize, beyond it a bounded number in the same zone and
-// in other zones. The relation is symmetric.
+// in other zones, since a proxy's traffic in a full mesh grows with the number
+// of members. The relation is symmetric.
 func (n *Node) Neighbours() []rosemary.ProxyID {
 	if !n.neighboursStale {
 		return n.neighbours
@@ -73,6 +76,10 @@
 	return list
 }
 
+// addRingNeighbours adds the members at zoneOffsets in self's zone, and members
+// in the zones at crossZoneOffsets: in a zone ahead, the one at self's position
+// scaled to the size of that ring; in a zone behind, all whose scaled position
+// is self's. Thus both ends choose each other.
 func addRingNeighbours(chosen map[rosemary.ProxyID]bool, self rosemary.Member, members []rosemary.Member) {
 	rings := zoneRings(members)
 	ownRing := rings[self.Zone]
--- a/pkg/rosepeer/node.go
+++ b/pkg/rosepeer/node.go
@@ -51,11 +51,12 @@
 	// deadRetention is how long a dead member is remembered, so that outdated
 	// updates do not bring it back.
 	deadRetention = 10 * time.Minute
-	// largeSize is the number of members above which heartbeats are sent less
-	// often.
-	largeSize = 64
-	// largeHeartbeatFactor multiplies the heartbeat interval above largeSize.
-	largeHeartbeatFactor = 5
+	// largeMeshSize is the number of members above which heartbeats are sent
+	// less often.
+	largeMeshSize = 64
+	// largeMeshHeartbeatFactor multiplies the heartbeat interval above
+	// largeMeshSize.
+	largeMeshHeartbeatFactor = 5
 )
 
 // peer is what a node knows of another member.
@@ -63,13 +64,15 @@
 	member      rosemary.Member
 	incarnation uint64
 	state       State
-	// confirmed is set once the member or another peer has reported it, and not
-	// only settings or the VM list.
+	// confirmed is set once the member itself or a peer has reported it. Until
+	// then it is known only from the settings or the VM list.
 	confirmed bool
-	seenAt    time.Time
+	// lastSeen is when the last heartbeat arrived, or when the member was added
+	// or known to have restarted.
+	lastSeen time.Time
 	// neighbourSince is zero while the peer is not a neighbour.
 	neighbourSince time.Time
-	changedAt      time.Time
+	stateChangedAt time.Time
 	bundleVersion  uint64
 }
 
@@ -79,7 +82,7 @@
 	Message rosewire.Message
 }
 
-// Event reports a change to the rest of the process.
+// Event tells the rest of the process what has changed.
 type Event struct {
 	// Member and State are set when a member's state changed.
 	Member rosemary.Member
@@ -92,23 +95,25 @@
 }
 
 // Node is one proxy's view of the membership. It isn't safe for concurrent use,
-// and takes the time only from its callers.
+// and reads no clock: callers pass the current time.
 type Node struct {
 	config      NodeConfig
 	incarnation uint64
 	peers       map[rosemary.ProxyID]*peer
-	// notAlive holds the peers in other states than alive, so that a tick does
-	// not scan all peers.
-	notAlive        map[rosemary.ProxyID]struct{}
-	primaries       map[string]rosewire.Lead
-	neighbours      []rosemary.ProxyID
-	neighboursStale bool
-	bundleVersion   uint64
-	newestVersion   uint64
-	heartbeatAt     time.Time
-	draining        bool
-	pending         rosewire.News
-	pendingFrom     rosemary.ProxyID
+	// notAlive holds the peers whose state isn't StateAlive, so that a tick
+	// does not scan all peers.
+	notAlive            map[rosemary.ProxyID]struct{}
+	primaries           map[string]rosewire.Lead
+	neighbours          []rosemary.ProxyID
+	neighboursStale     bool
+	bundleVersion       uint64
+	newestBundleVersion uint64
+	lastHeartbeatSent   time.Time
+	draining            bool
+	// pending are the updates to send with the next flush, and pendingSource is
+	// where they came from: a peer, which does not get them back, or this proxy.
+	pending       rosewire.News
+	pendingSource rosemary.ProxyID
 }
 
 // NewNode returns a node that knows only itself.
@@ -139,7 +144,7 @@
 		known := n.peers[m.Proxy]
 		switch {
 		case known == nil:
-			n.peers[m.Proxy] = &peer{member: m, changedAt: now, seenAt: now}
+			n.peers[m.Proxy] = &peer{member: m, stateChangedAt: now, lastSeen: now}
 			n.neighboursStale = true
 		case !known.confirmed && known.member != m:
 			known.member = m
@@ -187,7 +192,7 @@
 func (n *Node) View() []MemberView {
 	var views []MemberView
 	for _, p := range n.peers {
-		views = append(views, MemberView{p.member, stateNames[p.state], p.confirmed, p.bundleVersion, p.seenAt})
+		views = append(views, MemberView{p.member, stateNames[p.state], p.confirmed, p.bundleVersion, p.lastSeen})
 	}
 	slices.SortFunc(views, func(a, b MemberView) int { return cmp.Compare(a.Proxy, b.Proxy) })
 	return views
@@ -196,25 +201,25 @@
 // SetBundleVersion records the version of the bundle in force at this proxy.
 func (n *Node) SetBundleVersion(version uint64) {
 	n.bundleVersion = max(n.bundleVersion, version)
-	if version > n.newestVersion {
-		n.newestVersion = version
+	if version > n.newestBundleVersion {
+		n.newestBundleVersion = version
 		n.pending.BundleVersion = &version
-		n.pendingFrom = n.config.Self.Proxy
+		n.pendingSource = n.config.Self.Proxy
 	}
 }
 
 // BundleVersions returns the version in force at this proxy, and the newest one
 // known.
-func (n *Node) BundleVersions() (uint64, uint64) { return n.bundleVersion, n.newestVersion }
+func (n *Node) BundleVersions() (uint64, uint64) { return n.bundleVersion, n.newestBundleVersion }
 
-// AnnouncePrimary tells the neighbours of a new primary.
+// AnnouncePrimary queues an update about a new primary.
 func (n *Node) AnnouncePrimary(primary rosewire.Lead) {
 	if n.recordPrimary(primary) {
 		n.pending.Leads = append(n.pending.Leads, primary)
 	}
 }
 
-// Leave tells the neighbours that this proxy is shutting down.
+// Leave queues an update that this proxy is shutting down.
 func (n *Node) Leave() {
 	n.draining = true
 	n.pending.Members = append(n.pending.Members, n.selfRecord(StateLeaving))
@@ -242,14 +247,15 @@
 	}}
 }
 
-// Tick updates timed-out members and returns the messages due at now.
+// Tick updates the state of members that timed out, and returns the messages
+// due at now.
 func (n *Node) Tick(now time.Time) ([]Envelope, []Event) {
 	events := n.checkTimeouts(now)
 	envelopes := n.flush()
-	if now.Sub(n.heartbeatAt) < n.heartbeatInterval() {
+	if now.Sub(n.lastHeartbeatSent) < n.heartbeatInterval() {
 		return envelopes, events
 	}
-	n.heartbeatAt = now
+	n.lastHeartbeatSent = now
 	heartbeat := rosewire.Message{Heartbeat: &rosewire.Heartbeat{
 		Incarnation:   n.incarnation,
 		BundleVersion: n.bundleVersion,
@@ -261,11 +267,11 @@
 	return envelopes, events
 }
 
-// heartbeatInterval is longer for a large membership, in which each proxy has
-// few neighbours to monitor.
+// heartbeatInterval returns the time between heartbeats. It is longer for a
+// large membership, as each proxy then monitors only a few of the members.
 func (n *Node) heartbeatInterval() time.Duration {
-	if len(n.peers) > largeSize {
-		return largeHeartbeatFactor * n.config.HeartbeatInterval
+	if len(n.peers) > largeMeshSize {
+		return largeMeshHeartbeatFactor * n.config.HeartbeatInterval
 	}
 	return n.config.HeartbeatInterval
 }
@@ -283,7 +289,7 @@
 		if p.neighbourSince.IsZero() {
 			p.neighbourSince = now
 		}
-		silence := min(now.Sub(p.seenAt), now.Sub(p.neighbourSince))
+		silence := min(now.Sub(p.lastSeen), now.Sub(p.neighbourSince))
 		if p.confirmed && p.state == StateAlive && silence > timeout {
 			events = append(events, n.setState(now, p, StateSuspect))
 		}
@@ -291,9 +297,9 @@
 	for id := range n.notAlive {
 		p := n.peers[id]
 		switch {
-		case p.state == StateSuspect && now.Sub(p.changedAt) > refuteHeartbeats*n.heartbeatInterval():
+		case p.state == StateSuspect && now.Sub(p.stateChangedAt) > refuteHeartbeats*n.heartbeatInterval():
 			events = append(events, n.setState(now, p, StateDead))
-		case p.state >= StateLeaving && now.Sub(p.changedAt) > deadRetention:
+		case p.state >= StateLeaving && now.Sub(p.stateChangedAt) > deadRetention:
 			delete(n.peers, id)
 			delete(n.notAlive, id)
 			n.neighboursStale = true
@@ -305,7 +311,7 @@
 // setState changes a member's state and queues an update about it.
 func (n *Node) setState(now time.Time, p *peer, state State) Event {
 	p.state = state
-	p.changedAt = now
+	p.stateChangedAt = now
 	if state == StateAlive {
 		delete(n.notAlive, p.member.Proxy)
 	} else {
@@ -333,9 +339,9 @@
 		return nil
 	}
 	news := n.pending
-	source := n.pendingFrom
+	source := n.pendingSource
 	n.pending = rosewire.News{}
-	n.pendingFrom = ""
+	n.pendingSource = ""
 	var envelopes []Envelope
 	for _, id := range n.Neighbours() {
 		if id != source {
--- a/pkg/rosepeer/rank.go
+++ b/pkg/rosepeer/rank.go
@@ -1,6 +1,7 @@
-// Package rosepeer implements the membership of proxies. Node decides, without
-// sockets or goroutines, which members to monitor and what to pass on; Mesh
-// exchanges its messages over WebSocket.
+// Package rosepeer implements the gossip membership of proxies. Node decides,
+// without sockets or goroutines, which members to monitor and which updates to
+// forward; Mesh exchanges its messages over WebSocket. The package also assigns
+// proxies to keys by rendezvous hashing, and tunnels connections through peers.
 package rosepeer
 
 import (
--- a/pkg/rosepeer/receive.go
+++ b/pkg/rosepeer/receive.go
@@ -16,15 +16,16 @@
 	case message.Heartbeat != nil:
 		events = n.receiveHeartbeat(now, from, *message.Heartbeat)
 	case message.News != nil:
-		n.pendingFrom = from
+		n.pendingSource = from
 		events = n.receiveNews(now, from, *message.News)
 	}
 	return n.flush(), events
 }
 
-// FullState returns the full state to send on a new connection.
+// FullState returns the confirmed members that aren't dead, the primaries and
+// the newest bundle version, to be sent on a new link.
 func (n *Node) FullState() rosewire.Message {
-	news := rosewire.News{BundleVersion: &n.newestVersion}
+	news := rosewire.News{BundleVersion: &n.newestBundleVersion}
 	for _, p := range n.peers {
 		if p.confirmed && p.state < StateDead {
 			news.Members = append(news.Members, p.record())
@@ -50,7 +51,7 @@
 	if p == nil {
 		return nil
 	}
-	p.seenAt = now
+	p.lastSeen = now
 	p.bundleVersion = heartbeat.BundleVersion
 	if heartbeat.Draining || heartbeat.Incarnation < p.incarnation {
 		return nil
@@ -61,7 +62,7 @@
 		p.confirmed = true
 		events = append(events, n.setState(now, p, StateAlive))
 	}
-	return append(events, n.recordVersion(from, heartbeat.BundleVersion)...)
+	return append(events, n.recordBundleVersion(from, heartbeat.BundleVersion)...)
 }
 
 func (n *Node) receiveNews(now time.Time, from rosemary.ProxyID, news rosewire.News) []Event {
@@ -77,20 +78,21 @@
 		}
 	}
 	if news.BundleVersion != nil {
-		events = append(events, n.recordVersion(from, *news.BundleVersion)...)
+		events = append(events, n.recordBundleVersion(from, *news.BundleVersion)...)
 	}
 	return events
 }
 
-// recordVersion reports a bundle newer than the one in force. The event repeats
-// with every heartbeat until that bundle is in force, so a failed fetch is
-// tried again, from the peer that has it.
-func (n *Node) recordVersion(from rosemary.ProxyID, version uint64) []Event {
+// recordBundleVersion records the version that a peer reports, and returns an
+// event if it is newer than the one in force. The event repeats with every
+// heartbeat until that bundle is in force, so a failed fetch is tried again,
+// from the peer that has it.
+func (n *Node) recordBundleVersion(from rosemary.ProxyID, version uint64) []Event {
 	if version <= n.bundleVersion {
 		return nil
 	}
-	if version > n.newestVersion {
-		n.newestVersion = version
+	if version > n.newestBundleVersion {
+		n.newestBundleVersion = version
 	}
 	return []Event{{BundleVersion: version, From: from}}
 }
@@ -108,7 +110,7 @@
 		if state == StateDead {
 			return nil
 		}
-		p = &peer{seenAt: now}
+		p = &peer{lastSeen: now}
 		n.peers[id] = p
 	} else if p.confirmed && !overrides(m.Incarnation, state, p) {
 		return nil
@@ -118,7 +120,7 @@
 	p.incarnation = m.Incarnation
 	p.confirmed = true
 	if restarted {
-		p.seenAt = now
+		p.lastSeen = now
 	}
 	return []Event{n.setState(now, p, state)}
 }
--- a/pkg/rosepeer/scale_test.go
+++ b/pkg/rosepeer/scale_test.go
@@ -21,8 +21,9 @@
 // overheadBytes is the overhead of WebSocket, TCP and IP for one message.
 const overheadBytes = 46
 
-// delivery is a message in transit, the completion of a fetch, or else a tick.
-type delivery struct {
+// simulatedEvent is the arrival of a message, the completion of a bundle fetch,
+// or else a tick, at node number to.
+type simulatedEvent struct {
 	at      time.Time
 	to      int
 	from    rosemary.ProxyID
@@ -31,16 +32,16 @@
 	version uint64
 }
 
-type deliveries []delivery
+type eventQueue []simulatedEvent
 
-func (d deliveries) Len() int           { return len(d) }
-func (d deliveries) Less(i, j int) bool { return d[i].at.Before(d[j].at) }
-func (d deliveries) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *deliveries) Push(x any)        { *d = append(*d, x.(delivery)) }
-func (d *deliveries) Pop() any {
-	old := *d
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(simulatedEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*d = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
@@ -50,7 +51,7 @@
 	nodes          []*rosepeer.Node
 	members        []rosemary.Member
 	index          map[rosemary.ProxyID]int
-	queue          deliveries
+	queue          eventQueue
 	dead           map[int]bool
 	messages       uint64
 	bytes          uint64
@@ -85,7 +86,7 @@
 		node := rosepeer.NewNode(rosepeer.NodeConfig{Self: m, Incarnation: 1, FullMeshSize: fullMeshSize, SelectNeighbours: choose})
 		node.AddMembers(s.now, s.members)
 		s.nodes = append(s.nodes, node)
-		heap.Push(&s.queue, delivery{at: s.now.Add(tickInterval * time.Duration(i%100) / 100), to: i})
+		heap.Push(&s.queue, simulatedEvent{at: s.now.Add(tickInterval * time.Duration(i%100) / 100), to: i})
 	}
 	members := rosewire.News{}
 	for _, m := range s.members {
@@ -128,7 +129,7 @@
 		s.messages++
 		s.bytes += uint64(len(body)) + overheadBytes
 		message := e.Message
-		heap.Push(&s.queue, delivery{at: s.now.Add(s.delay(from, to)), to: to, from: s.members[from].Proxy, message: &message})
+		heap.Push(&s.queue, simulatedEvent{at: s.now.Add(s.delay(from, to)), to: to, from: s.members[from].Proxy, message: &message})
 	}
 }
 
@@ -145,9 +146,10 @@
 		}
 		if e.BundleVersion > 0 && s.activeAt[i].IsZero() {
 			const roundTrips = 3
+			// A time in the future marks the fetch as in progress.
 			s.activeAt[i] = s.now.Add(time.Hour)
 			from := s.index[e.From]
-			heap.Push(&s.queue, delivery{at: s.now.Add(2 * roundTrips * s.delay(i, from)), to: i, version: e.BundleVersion})
+			heap.Push(&s.queue, simulatedEvent{at: s.now.Add(2 * roundTrips * s.delay(i, from)), to: i, version: e.BundleVersion})
 		}
 	}
 }
@@ -155,33 +157,33 @@
 func (s *simulation) run(duration time.Duration) {
 	end := s.now.Add(duration)
 	for s.queue.Len() > 0 && s.queue[0].at.Before(end) {
-		d := heap.Pop(&s.queue).(delivery)
-		s.now = d.at
-		if s.dead[d.to] {
+		e := heap.Pop(&s.queue).(simulatedEvent)
+		s.now = e.at
+		if s.dead[e.to] {
 			continue
 		}
-		node := s.nodes[d.to]
+		node := s.nodes[e.to]
 		var envelopes []rosepeer.Envelope
 		var events []rosepeer.Event
 		switch {
-		case d.version > 0:
-			s.activeAt[d.to] = s.now
-			node.SetBundleVersion(d.version)
+		case e.version > 0:
+			s.activeAt[e.to] = s.now
+			node.SetBundleVersion(e.version)
 			envelopes, events = node.Tick(s.now)
-		case d.message != nil:
-			envelopes, events = node.Receive(s.now, d.from, *d.message)
+		case e.message != nil:
+			envelopes, events = node.Receive(s.now, e.from, *e.message)
 		default:
 			envelopes, events = node.Tick(s.now)
-			heap.Push(&s.queue, delivery{at: s.now.Add(tickInterval), to: d.to})
+			heap.Push(&s.queue, simulatedEvent{at: s.now.Add(tickInterval), to: e.to})
 		}
-		s.send(d.to, envelopes)
-		s.handleEvents(d.to, events)
+		s.send(e.to, envelopes)
+		s.handleEvents(e.to, events)
 	}
 	s.now = end
 }
 
 // rolloutTime sets a version on two nodes of every zone and returns the time
-// until it is in force on all nodes.
+// until it is in force on all nodes, or an hour if it isn't after 10 s.
 func (s *simulation) rolloutTime(version uint64) time.Duration {
 	started := s.now
 	clear(s.activeAt)
@@ -208,7 +210,7 @@
 }
 
 // detectionTime stops a node and returns the time until all others consider it
-// dead.
+// dead, or an hour if they don't after 30 s.
 func (s *simulation) detectionTime(i int) time.Duration {
 	started := s.now
 	s.dead[i] = true
@@ -227,13 +229,16 @@
 	return last
 }
 
-// costs are the measured costs of one membership.
+// costs are the measured costs of one membership. Messages, bytes, CPU and
+// memory are those of one node, the first two per second.
 type costs struct {
-	messages, bytes, cpu, memory float64
-	rollout, detection           time.Duration
-	degree, falseSuspicions      int
+	messages, bytes, cpuPercent, memoryMB float64
+	rollout, detection                    time.Duration
+	neighbours, falseSuspicions           int
 }
 
+// measure simulates a membership: 20 s for its traffic, after 5 s to settle, then
+// a rollout and the failure of a node.
 func measure(size, zones, fullMeshSize int, choose selector) costs {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -248,11 +253,11 @@
 	s.run(seconds * time.Second)
 	elapsed := time.Since(started)
 	result := costs{
-		messages: float64(s.messages) / seconds / float64(size),
-		bytes:    float64(s.bytes) / seconds / float64(size),
-		cpu:      elapsed.Seconds() / seconds / float64(size) * 100,
-		memory:   float64(after.HeapAlloc-before.HeapAlloc) / float64(size) / (1 << 20),
-		degree:   len(s.nodes[0].Neighbours()),
+		messages:   float64(s.messages) / seconds / float64(size),
+		bytes:      float64(s.bytes) / seconds / float64(size),
+		cpuPercent: elapsed.Seconds() / seconds / float64(size) * 100,
+		memoryMB:   float64(after.HeapAlloc-before.HeapAlloc) / float64(size) / (1 << 20),
+		neighbours: len(s.nodes[0].Neighbours()),
 	}
 	result.rollout = s.rolloutTime(2)
 	result.detection = s.detectionTime(size / 2)
@@ -272,6 +277,7 @@
 			}
 			hash := fnv.New32a()
 			fmt.Fprint(hash, min(self.Proxy, m.Proxy), max(self.Proxy, m.Proxy))
+			// The multiplication (Knuth's constant) spreads the hash's bits.
 			if uint64(hash.Sum32()*2654435761) < limit {
 				chosen = append(chosen, m.Proxy)
 			}
@@ -322,17 +328,20 @@
 				}
 				b.ReportMetric(measured.messages, "messages/node/s")
 				b.ReportMetric(measured.bytes, "bytes/node/s")
-				b.ReportMetric(measured.cpu, "cpu%/node")
-				b.ReportMetric(measured.memory, "MB/node")
+				b.ReportMetric(measured.cpuPercent, "cpu%/node")
+				b.ReportMetric(measured.memoryMB, "MB/node")
 				b.ReportMetric(measured.rollout.Seconds(), "s-in-force")
 				b.ReportMetric(measured.detection.Seconds(), "s-to-notice")
-				b.ReportMetric(float64(measured.degree), "neighbours")
+				b.ReportMetric(float64(measured.neighbours), "neighbours")
 			})
 		}
 	}
 }
 
-func TestVersionAndLossReachEveryNode(t *testing.T) {
+// A new bundle and the failure of a node must become known everywhere in time,
+// without suspicions of live nodes, and the traffic must stay below 13 kB/s per
+// node.
+func TestRolloutAndFailureDetection(t *testing.T) {
 	for _, size := range []int{6, 60} {
 		measured := measure(size, max(3, size/20), 8, nil)
 		c := qt.New(t)
--- a/pkg/rosepeer/survey.go
+++ b/pkg/rosepeer/survey.go
@@ -14,16 +14,17 @@
 	// AboutPrimaryRevoked asks the peer to stop relying on the primary of a
 	// term.
 	AboutPrimaryRevoked = "Stop"
-	// AboutPrimarySuspected reports that a primary has just not answered the
-	// sender.
+	// AboutPrimarySuspected reports that a primary did not answer a request of
+	// the sender, so that the peer samples it at once.
 	AboutPrimarySuspected = "Suspicion"
-	// AboutPrimaryUnreachable reports that the sender can't reach a primary.
+	// AboutPrimaryUnreachable reports that the sender can't reach a primary,
+	// which counts towards its replacement.
 	AboutPrimaryUnreachable = "Complaint"
 	// AboutTargetStatuses asks for the target statuses that the peer has
 	// sampled.
 	AboutTargetStatuses = "Facts"
-	// AboutAbstain asks a peer that can't reach the store either not to claim a
-	// lock for a while.
+	// AboutAbstain asks the peer not to claim a lock for a while if it, like
+	// the sender, can't reach the store.
 	AboutAbstain = "Abstain"
 )
 
--- a/pkg/rosepeer/tunnel.go
+++ b/pkg/rosepeer/tunnel.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// directTimeout bounds a direct connection attempt, so that a tunnel can
-	// still be tried.
+	// directTimeout bounds a direct connection attempt to a target, so that a
+	// tunnel, or the next peer, can still be tried.
 	directTimeout = 250 * time.Millisecond
 	// directRetryDelay is how long direct attempts are skipped for an address
 	// that timed out.
@@ -50,8 +50,8 @@
 	pipe(newTunnelConn(r.Context(), conn), target)
 }
 
-// tunnelConn is a stream over a WebSocket. Close doesn't wait for the other
-// end, as with a socket.
+// tunnelConn is a stream over a WebSocket. Like that of a TCP connection, its
+// Close doesn't wait for the other end.
 type tunnelConn struct {
 	net.Conn
 	socket *websocket.Conn
