--- a/pkg/rosebundle/bench_test.go
+++ b/pkg/rosebundle/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-// largeContent declares a number of databases with three targets each.
+// largeContent returns content with that many databases of three targets each.
 func largeContent(databases int, key ed25519.PrivateKey) *rosebundle.Content {
 	public, _ := key.Public().(ed25519.PublicKey)
 	content := &rosebundle.Content{
@@ -41,7 +41,7 @@
 	content := largeContent(2400, key)
 	m, parts := rosebundle.Build(content, rosebundle.Manifest{})
 	m = m.WithSignature("ana", key)
-	rollout := rosebundle.NewUpdater(rosebundle.UpdaterConfig{
+	updater := rosebundle.NewUpdater(rosebundle.UpdaterConfig{
 		TrustAnchors: rosebundle.OperatorList{Operators: content.Operators, Signatures: 1},
 		Apply:        func(*rosebundle.Content, rosebundle.Manifest) {},
 	})
@@ -50,7 +50,7 @@
 		fetched += len(parts[digest])
 		return parts[digest], nil
 	}
-	c.Assert(rollout.Update(context.Background(), m.Encode(), fetch), qt.IsNil)
+	c.Assert(updater.Update(context.Background(), m.Encode(), fetch), qt.IsNil)
 	firstFetch := fetched
 	fetched = 0
 	for b.Loop() {
@@ -58,7 +58,7 @@
 		m, parts = rosebundle.Build(content, m)
 		m = m.WithSignature("ana", key)
 		fetched += len(m.Encode())
-		c.Assert(rollout.Update(context.Background(), m.Encode(), fetch), qt.IsNil)
+		c.Assert(updater.Update(context.Background(), m.Encode(), fetch), qt.IsNil)
 	}
 	b.ReportMetric(float64(fetched)/float64(b.N), "bytes/change")
 	b.ReportMetric(float64(firstFetch), "bytes/first")
--- a/pkg/rosebundle/change.go
+++ b/pkg/rosebundle/change.go
@@ -4,8 +4,8 @@
 
 // CheckChange returns the faults that make next an unsafe successor of current.
 // A group's acknowledged writes are on a quorum of its targets, so a target may
-// only be removed after it was marked as leaving, and only one may be replaced
-// per version.
+// only be removed after it was marked as leaving, only one may be replaced per
+// version, and the number of targets must not change.
 func CheckChange(current, next *Content) []Fault {
 	ch := &checker{seenTargets: make(map[string]bool)}
 	currentDatabases := make(map[string]Database)
@@ -21,13 +21,13 @@
 }
 
 func (ch *checker) checkGroupChange(key string, old, next Database) {
-	kept := make(map[string]bool)
+	inNext := make(map[string]bool)
 	for _, t := range next.Targets {
-		kept[t.ID] = true
+		inNext[t.ID] = true
 	}
 	removed := 0
 	for _, t := range old.Targets {
-		if kept[t.ID] {
+		if inNext[t.ID] {
 			continue
 		}
 		removed++
--- a/pkg/rosebundle/check.go
+++ b/pkg/rosebundle/check.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Fault is one problem in a bundle's source.
+// Fault is one problem in a bundle's content.
 type Fault struct {
 	// Key is the path of the value, such as Databases[2].Targets[0].Zone.
 	Key string
@@ -24,7 +24,7 @@
 	return f.Key + ": " + f.Problem + "; " + f.Remedy
 }
 
-// ValidationError reports an invalid source with every fault found.
+// ValidationError reports invalid content with every fault found.
 type ValidationError struct {
 	Faults []Fault
 }
@@ -38,7 +38,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Limits of a bundle.
+// Maximum values in a bundle; maxTargets is per database.
 const (
 	maxSlots       = 10_000
 	maxConnections = 100_000
@@ -93,7 +93,7 @@
 		}
 	}
 	if len(c.Operators) > 0 && (c.Signatures < 1 || c.Signatures > len(c.Operators)) {
-		ch.add("Signatures", fmt.Sprintf("%d signatures required of %d operators", c.Signatures, len(c.Operators)), "use a value between 1 and the number of operators")
+		ch.add("Signatures", fmt.Sprintf("the bundle requires %d signatures and has %d operators", c.Signatures, len(c.Operators)), "use a value between 1 and the number of operators")
 	}
 	return ch.faults
 }
@@ -135,7 +135,7 @@
 		}
 		ch.seenTargets[t.ID] = true
 		if !strings.Contains(t.Address, ":") {
-			ch.add(path+".Address", fmt.Sprintf("%q is not of the form host:port", t.Address), "give an IP address and a port")
+			ch.add(path+".Address", fmt.Sprintf("%q has no port", t.Address), "use an IP address and a port, such as 10.0.0.1:5432")
 		}
 		if t.Zone == "" {
 			ch.add(path+".Zone", "must not be empty", "set the availability zone")
--- a/pkg/rosebundle/content.go
+++ b/pkg/rosebundle/content.go
@@ -1,6 +1,7 @@
-// Package rosebundle implements the operators' configuration: the databases,
-// targets, classes and tenants, the operators who may change them, and the
-// signed versions that put a change into force.
+// Package rosebundle implements bundles. A bundle is a version of the
+// configuration that all proxies share, signed by operators: the databases,
+// targets, classes and tenants, and the operators who may change them. It is in
+// force at a proxy once the proxy has verified and applied it.
 package rosebundle
 
 import (
@@ -20,12 +21,13 @@
 	Signatures int
 }
 
-// Database configures a group of targets.
+// Database configures a database and its group, the targets that replicate it.
 type Database struct {
 	Name string
 	// Slots is the number of statements that a target runs at once.
 	Slots int
-	// Connections is the number of connections that a target accepts.
+	// Connections is the number of connections that a target accepts from all
+	// proxies together.
 	Connections int
 	Targets     []Target
 }
@@ -39,7 +41,7 @@
 	Leaving bool
 }
 
-// Class configures a class of statements.
+// Class configures a class of statements; rosemary.Class explains the fields.
 type Class struct {
 	Name       string
 	ReadOnly   bool
@@ -51,12 +53,15 @@
 
 // Tenant configures a customer whose work is isolated from that of others.
 type Tenant struct {
-	Name      string
-	Weight    int
+	Name   string
+	Weight int
+	// Databases lists the databases that the tenant may use; "*" means all.
 	Databases []string
-	// Verifier is a SCRAM-SHA-256 verifier. Without one, Trust must be set.
+	// Verifier is the SCRAM-SHA-256 verifier of the tenant's password.
 	Verifier string
-	Trust    bool
+	// Trust allows connections without a password. Either Verifier or Trust
+	// must be set, not both.
+	Trust bool
 }
 
 // Operator is allowed to sign changes.
@@ -121,7 +126,7 @@
 	return rosemary.Tenant{}, false
 }
 
-// Leaving reports whether a target is to get no new work.
+// Leaving reports whether a target is marked as leaving.
 func (c *Content) Leaving(id rosemary.TargetID) bool {
 	for _, d := range c.Databases {
 		for _, t := range d.Targets {
--- a/pkg/rosebundle/manifest.go
+++ b/pkg/rosebundle/manifest.go
@@ -14,14 +14,15 @@
 	"github.com/gravitational/trace"
 )
 
-// pageThreshold is the number of sections above which the list of sections is
-// split into pages, so that a change transfers one page and not the whole list.
+// pageThreshold is the number of sections above which their list is split into
+// pages, so that a change transfers one page and not the whole list. A bundle
+// has a section per database, and those for classes, tenants and operators.
 const pageThreshold = 64
 
 // pageCount is the number of pages of a split list.
 const pageCount = 64
 
-// Names of the sections; each database has one, named by the prefix.
+// Names of the sections. That of a database is the prefix and its name.
 const (
 	sectionClasses   = "classes"
 	sectionTenants   = "tenants"
@@ -29,15 +30,15 @@
 	databasePrefix   = "database/"
 )
 
-// Manifest is a signed version of the bundle. It is small and refers to all
-// other parts by digest.
+// Manifest is a signed version of the bundle. It is small, as the root of a hash
+// tree: it refers by digest to pages, and these refer to sections.
 type Manifest struct {
 	Version uint64
 	// Parent is the digest of the preceding manifest.
 	Parent string
 	// Operators is the digest of the section that lists the operators.
 	Operators string
-	// Pages are the digests of the lists of sections.
+	// Pages are the digests of the pages, which list the sections.
 	Pages      []string
 	Signatures []Signature `json:",omitempty"`
 }
@@ -91,7 +92,8 @@
 	return m, nil
 }
 
-// WithSignature returns a copy signed by an operator.
+// WithSignature returns a copy signed by an operator, replacing an earlier
+// signature of that operator.
 func (m Manifest) WithSignature(operator string, key ed25519.PrivateKey) Manifest {
 	value := base64.StdEncoding.EncodeToString(ed25519.Sign(key, []byte(m.signedBody())))
 	kept := slices.DeleteFunc(slices.Clone(m.Signatures), func(s Signature) bool { return s.Operator == operator })
@@ -116,12 +118,12 @@
 	return names
 }
 
-// VerifySignatures returns a trace.AccessDenied unless enough of operators have
-// signed.
+// VerifySignatures returns a trace.AccessDenied unless the manifest has the
+// number of valid signatures that operators requires.
 func (m Manifest) VerifySignatures(operators OperatorList) error {
 	signers := m.validSigners(operators.Operators)
 	if len(signers) < max(operators.Signatures, 1) {
-		return trace.AccessDenied("bundle %d has valid signatures of %v but needs %d: have more operators run rosemary bundle sign",
+		return trace.AccessDenied("bundle %d has valid signatures of operators %v but needs %d signatures: have more operators run rosemary bundle sign",
 			m.Version, signers, max(operators.Signatures, 1))
 	}
 	return nil
@@ -129,7 +131,8 @@
 
 // OperatorList is the section that lists the operators.
 type OperatorList struct {
-	Operators  []Operator
+	Operators []Operator
+	// Signatures is the number of operators that must sign a change.
 	Signatures int
 }
 
@@ -265,15 +268,15 @@
 
 // referencedParts returns the parts that the manifest refers to.
 func (m Manifest) referencedParts(parts Parts) Parts {
-	kept := Parts{m.Operators: parts[m.Operators]}
+	referenced := Parts{m.Operators: parts[m.Operators]}
 	for _, digest := range m.Pages {
-		kept[digest] = parts[digest]
+		referenced[digest] = parts[digest]
 	}
 	entries, _ := m.entries(parts)
 	for _, e := range entries {
-		kept[e.Digest] = parts[e.Digest]
+		referenced[e.Digest] = parts[e.Digest]
 	}
-	return kept
+	return referenced
 }
 
 func shortDigest(digest string) string {
--- a/pkg/rosebundle/rollout.go
+++ b/pkg/rosebundle/rollout.go
@@ -22,10 +22,10 @@
 // changes that a proxy has missed.
 const maxAncestors = 256
 
-// FetchFunc returns a part by its digest.
+// FetchFunc returns a part or a manifest by its digest.
 type FetchFunc func(ctx context.Context, digest string) (string, error)
 
-// UpdaterConfig configures a Rollout.
+// UpdaterConfig configures an Updater.
 type UpdaterConfig struct {
 	// TrustAnchors are the operators from the settings, for a proxy that has no
 	// bundle in force yet.
@@ -50,33 +50,33 @@
 	lastErr     error
 }
 
-// NewUpdater returns a rollout without a bundle.
+// NewUpdater returns an updater without a bundle.
 func NewUpdater(config UpdaterConfig) *Updater {
 	return &Updater{config: config, parts: make(Parts), updating: make(chan struct{}, 1)}
 }
 
 // Current returns the manifest in force and the time it came into force.
-func (r *Updater) Current() (Manifest, time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.current, r.activeSince
+func (u *Updater) Current() (Manifest, time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.current, u.activeSince
 }
 
 // LastError returns why the last bundle seen was refused, or nil.
-func (r *Updater) LastError() error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.lastErr
+func (u *Updater) LastError() error {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.lastErr
 }
 
 // Part returns a part for a peer, or the manifest in force for an empty digest.
-func (r *Updater) Part(digest string) (string, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if digest == "" || r.current.Version > 0 && digest == r.current.Digest() {
-		return r.current.Encode(), r.current.Version > 0
+func (u *Updater) Part(digest string) (string, bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if digest == "" || u.current.Version > 0 && digest == u.current.Digest() {
+		return u.current.Encode(), u.current.Version > 0
 	}
-	text, ok := r.parts[digest]
+	text, ok := u.parts[digest]
 	return text, ok
 }
 
@@ -85,32 +85,32 @@
 // required signatures, trace.BadParameter and *ValidationError for an invalid
 // one, trace.ConnectionProblem when ctx ends during another update, and those
 // of fetch.
-func (r *Updater) Update(ctx context.Context, text string, fetch FetchFunc) error {
+func (u *Updater) Update(ctx context.Context, text string, fetch FetchFunc) error {
 	select {
-	case r.updating <- struct{}{}:
+	case u.updating <- struct{}{}:
 	case <-ctx.Done():
 		return trace.ConnectionProblem(ctx.Err(), "gave up waiting for the update to another bundle")
 	}
-	defer func() { <-r.updating }()
-	err := r.update(ctx, text, fetch)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lastErr = err
+	defer func() { <-u.updating }()
+	err := u.update(ctx, text, fetch)
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.lastErr = err
 	return err
 }
 
-func (r *Updater) update(ctx context.Context, text string, fetch FetchFunc) error {
+func (u *Updater) update(ctx context.Context, text string, fetch FetchFunc) error {
 	m, err := DecodeManifest(text)
 	if err != nil {
 		return err
 	}
-	r.mu.Lock()
-	current, parts := r.current, r.current.referencedParts(r.parts)
-	r.mu.Unlock()
+	u.mu.Lock()
+	current, parts := u.current, u.current.referencedParts(u.parts)
+	u.mu.Unlock()
 	if m.Version <= current.Version {
 		return nil
 	}
-	if err := r.verify(ctx, m, current, parts, fetch); err != nil {
+	if err := u.verify(ctx, m, current, parts, fetch); err != nil {
 		return err
 	}
 	if err := fetchMissing(ctx, m, parts, fetch); err != nil {
@@ -120,21 +120,21 @@
 	if err != nil {
 		return err
 	}
-	r.config.Apply(content, m)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.current, r.parts, r.activeSince = m, m.referencedParts(parts), time.Now()
+	u.config.Apply(content, m)
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.current, u.parts, u.activeSince = m, m.referencedParts(parts), time.Now()
 	// Peers that are behind request this manifest by its digest.
-	r.parts[m.Digest()] = m.Encode()
+	u.parts[m.Digest()] = m.Encode()
 	return nil
 }
 
 // verify checks the signatures of m against the operators in force. If the
 // operators changed since then, every version in between is checked against its
 // predecessor's operators.
-func (r *Updater) verify(ctx context.Context, m, current Manifest, parts Parts, fetch FetchFunc) error {
+func (u *Updater) verify(ctx context.Context, m, current Manifest, parts Parts, fetch FetchFunc) error {
 	if current.Version == 0 {
-		return r.verifyFirst(ctx, m, parts, fetch)
+		return u.verifyFirst(ctx, m, parts, fetch)
 	}
 	if m.Operators == current.Operators {
 		list, err := current.OperatorList(parts)
@@ -163,7 +163,7 @@
 
 // verifyFirst checks a first bundle: it must have the signatures that it
 // requires itself, and those that the trust anchors require.
-func (r *Updater) verifyFirst(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) error {
+func (u *Updater) verifyFirst(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) error {
 	list, err := fetchOperators(ctx, m, parts, fetch)
 	if err != nil {
 		return err
@@ -171,7 +171,7 @@
 	if err := m.VerifySignatures(list); err != nil {
 		return err
 	}
-	if err := m.VerifySignatures(r.config.TrustAnchors); err != nil {
+	if err := m.VerifySignatures(u.config.TrustAnchors); err != nil {
 		return trace.AccessDenied("bundle %d is not signed by the operators in this proxy's settings: %v", m.Version, err)
 	}
 	return nil
@@ -198,7 +198,7 @@
 		}
 		chain = slices.Insert(chain, 0, parent)
 	}
-	return nil, trace.LimitExceeded("bundle %d is more than %d versions ahead: restart the proxy", m.Version, maxAncestors)
+	return nil, trace.LimitExceeded("bundle %d is more than %d versions ahead of the one in force: restart the proxy to verify it against the operators in its settings", m.Version, maxAncestors)
 }
 
 func fetchOperators(ctx context.Context, m Manifest, parts Parts, fetch FetchFunc) (OperatorList, error) {
@@ -258,7 +258,7 @@
 	return store.Watch(ctx, currentKey)
 }
 
-// Proposal is a signed manifest with its parts, as operators exchange it.
+// Proposal is a manifest with its parts, which operators pass on for signing.
 type Proposal struct {
 	Manifest Manifest
 	Parts    Parts
@@ -294,10 +294,10 @@
 	return "bundle " + e.Accepted.String() + " was accepted first; redo the change on top of it: rosemary bundle new, sign, propose"
 }
 
-// Propose puts the proposal into the store by compare-and-swap on its parent.
-// If the answer is lost, the outcome is read back. Errors are *ConflictError,
-// trace.AccessDenied, *ValidationError and trace.ConnectionProblem, after which
-// the same proposal can be submitted again.
+// Propose writes the proposal to the store by compare-and-swap, provided that
+// its parent is the bundle there. If the answer is lost, the outcome is read
+// back. Errors are *ConflictError, trace.AccessDenied, *ValidationError and
+// trace.ConnectionProblem, after which the same proposal can be submitted again.
 func Propose(ctx context.Context, store rosemary.Store, p Proposal) error {
 	content, err := p.Manifest.Content(p.Parts)
 	if err != nil {
@@ -364,8 +364,8 @@
 	return p.Manifest.VerifySignatures(list)
 }
 
-// uploadParts writes the parts that the store lacks, and the manifest under its
-// digest.
+// uploadParts writes the parts that are not among the stored ones, and the
+// manifest under its digest.
 func uploadParts(ctx context.Context, store rosemary.Store, p Proposal, stored Parts) error {
 	parts := p.Manifest.referencedParts(p.Parts)
 	parts[p.Manifest.Digest()] = p.Manifest.Encode()
--- a/pkg/rosebundle/rollout_test.go
+++ b/pkg/rosebundle/rollout_test.go
@@ -47,6 +47,7 @@
 
 func (*memoryStore) Watch(context.Context, string) (<-chan rosemary.Entry, error) { return nil, nil }
 
+// key derives an operator's private key from the name.
 func key(name string) ed25519.PrivateKey {
 	seed := make([]byte, ed25519.SeedSize)
 	copy(seed, name)
@@ -58,6 +59,8 @@
 	return rosebundle.Operator{Name: name, PublicKey: base64.StdEncoding.EncodeToString(public)}
 }
 
+// content returns valid content that all operators must sign. Different
+// weights make different versions.
 func content(weight int, operators ...string) *rosebundle.Content {
 	c := largeContent(2, key("ana"))
 	c.Operators = nil
@@ -78,7 +81,7 @@
 	return rosebundle.Proposal{Manifest: m, Parts: parts}
 }
 
-func TestProposals(t *testing.T) {
+func TestPropose(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
 	store := &memoryStore{entries: make(map[string]rosemary.Entry)}
@@ -105,7 +108,7 @@
 	c := qt.New(t)
 	ctx := context.Background()
 	parts := make(rosebundle.Parts)
-	store := func(p rosebundle.Proposal) string {
+	addParts := func(p rosebundle.Proposal) string {
 		for digest, text := range p.Parts {
 			parts[digest] = text
 		}
@@ -127,7 +130,7 @@
 	tampered.Manifest.Pages[0] = v1.Manifest.Pages[0]
 	unknownOperator := proposal(content(9, "mallory"), rosebundle.Manifest{}, "mallory")
 	for _, p := range []rosebundle.Proposal{v1, v2, v3, forged, partlySigned, tampered, unknownOperator} {
-		store(p)
+		addParts(p)
 	}
 	appliedVersions := func(anchors []string, texts ...string) string {
 		var versions []uint64
@@ -135,12 +138,12 @@
 		for _, name := range anchors {
 			list.Operators = append(list.Operators, operator(name))
 		}
-		r := rosebundle.NewUpdater(rosebundle.UpdaterConfig{
+		u := rosebundle.NewUpdater(rosebundle.UpdaterConfig{
 			TrustAnchors: list,
 			Apply:        func(_ *rosebundle.Content, m rosebundle.Manifest) { versions = append(versions, m.Version) },
 		})
 		for _, text := range texts {
-			_ = r.Update(ctx, text, fetch)
+			_ = u.Update(ctx, text, fetch)
 		}
 		return fmt.Sprint(versions)
 	}
