--- a/pkg/rosestore/gateway.go
+++ b/pkg/rosestore/gateway.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// maxResponseBytes bounds a response; values have up to a megabyte.
+	// maxResponseBytes bounds a response; values have up to a megabyte before
+	// base64 encoding.
 	maxResponseBytes = 4 << 20
 	// callTimeout bounds a call whose context has no earlier deadline.
 	callTimeout = 2 * time.Second
--- a/pkg/rosestore/roster.go
+++ b/pkg/rosestore/roster.go
@@ -28,8 +28,8 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// Members returns the platform's list, which may lag behind the VMs. The error
-// is a trace.ConnectionProblem.
+// Members returns the platform's list, which may be out of date. The error is a
+// trace.ConnectionProblem.
 func (s *MemberSource) Members(ctx context.Context) ([]rosemary.Member, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
