--- a/internal/rosekv/server.go
+++ b/internal/rosekv/server.go
@@ -77,11 +77,11 @@
 // SetDown makes every call hang until its caller gives up.
 func (s *Server) SetDown(down bool) { s.set(func() { s.down = down }) }
 
-// SetLoseAnswers makes writes take effect without an answer.
-func (s *Server) SetLoseAnswers(lose bool) { s.set(func() { s.loseAnswers = lose }) }
+// SetDropResponses makes writes take effect without an answer.
+func (s *Server) SetDropResponses(lose bool) { s.set(func() { s.loseAnswers = lose }) }
 
-// SetFromPast makes reads answer from the state at the time of the call.
-func (s *Server) SetFromPast(past bool) {
+// SetStaleReads makes reads answer from the state at the time of the call.
+func (s *Server) SetStaleReads(past bool) {
 	s.set(func() {
 		s.fromPast = past
 		s.past = make(map[string]versioned)
@@ -99,8 +99,8 @@
 	s.set(func() { s.listLag = append(s.listLag, timedMembers{time.Now(), members}) })
 }
 
-// CatchUp makes the list of VMs current at once.
-func (s *Server) CatchUp() {
+// PublishMembers makes the list of VMs current at once.
+func (s *Server) PublishMembers() {
 	s.set(func() {
 		for i := range s.listLag {
 			s.listLag[i].at = time.Time{}
@@ -108,8 +108,8 @@
 	})
 }
 
-// Calls returns how often each call was made.
-func (s *Server) Calls() map[string]int {
+// CallCounts returns how often each call was made.
+func (s *Server) CallCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	calls := make(map[string]int)
--- a/internal/roseload/fault_primary.go
+++ b/internal/roseload/fault_primary.go
@@ -58,7 +58,7 @@
 	return func(_ context.Context, f *faults) {
 		name := string(f.primary().Status().Target)
 		zone := f.zoneOf(f.primary())
-		f.run.stack.Network.SetBlocked(func(from, to rosenet.Place) bool {
+		f.run.stack.Network.SetBlocked(func(from, to rosenet.Host) bool {
 			if from.Name != name && to.Name != name {
 				return false
 			}
@@ -75,8 +75,8 @@
 }
 
 // cutZone returns the predicate that splits a zone from the others.
-func cutZone(zone string) func(from, to rosenet.Place) bool {
-	return func(from, to rosenet.Place) bool {
+func cutZone(zone string) func(from, to rosenet.Host) bool {
+	return func(from, to rosenet.Host) bool {
 		if from.Zone == rosestack.CallerZone || to.Zone == rosestack.CallerZone {
 			return false
 		}
--- a/internal/roseload/fault_replicas.go
+++ b/internal/roseload/fault_replicas.go
@@ -43,7 +43,7 @@
 		i := f.pick(len(targets))
 		for id := range targets {
 			if i == 0 {
-				f.run.stack.Network.Silence(string(id))
+				f.run.stack.Network.StallStreams(string(id))
 			}
 			i--
 		}
--- a/internal/roseload/fault_store.go
+++ b/internal/roseload/fault_store.go
@@ -23,7 +23,7 @@
 
 func strikeStoreDown(_ context.Context, f *faults) { f.run.stack.Platform.SetDown(true) }
 
-func strikeLostAnswers(_ context.Context, f *faults) { f.run.stack.Platform.SetLoseAnswers(true) }
+func strikeLostAnswers(_ context.Context, f *faults) { f.run.stack.Platform.SetDropResponses(true) }
 
 // slowStore is how much longer each call takes at a slow store.
 const slowStore = 700 * time.Millisecond
@@ -32,15 +32,15 @@
 
 // strikeStorePast accepts a bundle and then lets reads answer from before it.
 func strikeStorePast(ctx context.Context, f *faults) {
-	f.run.stack.Platform.SetFromPast(true)
+	f.run.stack.Platform.SetStaleReads(true)
 	strikeRestart(ctx, f)
 }
 
 func healStore(f *faults) {
 	f.run.stack.Platform.SetDelay(0)
-	f.run.stack.Platform.SetFromPast(false)
+	f.run.stack.Platform.SetStaleReads(false)
 	f.run.stack.Platform.SetDown(false)
-	f.run.stack.Platform.SetLoseAnswers(false)
+	f.run.stack.Platform.SetDropResponses(false)
 }
 
 // strikePaused takes away the proxy that would replace the primary, and then
@@ -51,7 +51,7 @@
 		members = append(members, rosemary.Member{Proxy: rosemary.ProxyID(p.Name)})
 	}
 	first := string(rosepeer.RendezvousOrder("supervise/"+f.database(), members)[0].Proxy)
-	f.run.stack.Network.SetBlocked(func(from, to rosenet.Place) bool {
+	f.run.stack.Network.SetBlocked(func(from, to rosenet.Host) bool {
 		return from.Name == first || to.Name == first
 	})
 	f.tasks.Go(func() {
--- a/internal/rosenet/link.go
+++ b/internal/rosenet/link.go
@@ -18,7 +18,7 @@
 // link joins the two ends of a delayed stream.
 type link struct {
 	network  *Network
-	from, to Place
+	from, to Host
 	ctx      context.Context
 	cancel   context.CancelFunc
 	silent   chan struct{}
@@ -35,7 +35,7 @@
 }
 
 // join returns the caller's end of a stream whose other end is inner.
-func (n *Network) join(from, to Place, inner net.Conn) net.Conn {
+func (n *Network) join(from, to Host, inner net.Conn) net.Conn {
 	near, far := net.Pipe()
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &link{network: n, from: from, to: to, ctx: ctx, cancel: cancel, silent: make(chan struct{})}
--- a/internal/rosenet/memory.go
+++ b/internal/rosenet/memory.go
@@ -24,7 +24,7 @@
 func (memoryAddr) Network() string  { return "memory" }
 func (a memoryAddr) String() string { return string(a) }
 
-func (n *Network) listenInMemory(place Place, address string) net.Listener {
+func (n *Network) listenInMemory(place Host, address string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if address == "" {
--- a/internal/rosenet/network.go
+++ b/internal/rosenet/network.go
@@ -15,8 +15,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/roseclock"
 )
 
-// Place is a named machine in an availability zone.
-type Place struct {
+// Host is a named machine in an availability zone.
+type Host struct {
 	Name string
 	Zone string
 }
@@ -24,7 +24,7 @@
 // Config sets up a Network.
 type Config struct {
 	// Delay returns the one-way delay between two places.
-	Delay func(from, to Place) time.Duration
+	Delay func(from, to Host) time.Duration
 	// InMemory keeps streams within the process, without sockets.
 	InMemory bool
 }
@@ -38,9 +38,9 @@
 
 	mu        sync.Mutex
 	changed   chan struct{}
-	places    map[string]Place
+	places    map[string]Host
 	listeners map[string]*memoryListener
-	blocked   func(from, to Place) bool
+	blocked   func(from, to Host) bool
 	links     map[*link]struct{}
 	tasks     sync.WaitGroup
 }
@@ -48,7 +48,7 @@
 // NewNetwork returns a network without places.
 func NewNetwork(config Config) *Network {
 	if config.Delay == nil {
-		config.Delay = func(Place, Place) time.Duration { return 0 }
+		config.Delay = func(Host, Host) time.Duration { return 0 }
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Network{
@@ -56,14 +56,14 @@
 		ctx:       ctx,
 		cancel:    cancel,
 		changed:   make(chan struct{}),
-		places:    make(map[string]Place),
+		places:    make(map[string]Host),
 		listeners: make(map[string]*memoryListener),
 		links:     make(map[*link]struct{}),
 	}
 }
 
 // Listen opens a listener at place. An empty address takes a free one.
-func (n *Network) Listen(place Place, address string) (net.Listener, error) {
+func (n *Network) Listen(place Host, address string) (net.Listener, error) {
 	if n.config.InMemory {
 		return n.listenInMemory(place, address), nil
 	}
@@ -82,7 +82,7 @@
 
 // SetBlocked installs the predicate that tells which places can't reach each
 // other. Streams between them stall, as TCP does, until they are healed.
-func (n *Network) SetBlocked(blocked func(from, to Place) bool) {
+func (n *Network) SetBlocked(blocked func(from, to Host) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked = blocked
@@ -90,9 +90,9 @@
 	n.changed = make(chan struct{})
 }
 
-// Silence stalls for good every stream that is open now to or from name.
+// StallStreams stalls for good every stream that is open now to or from name.
 // Streams opened later work.
-func (n *Network) Silence(name string) {
+func (n *Network) StallStreams(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l := range n.links {
@@ -114,23 +114,23 @@
 }
 
 // Blocked reports whether from and to can't reach each other.
-func (n *Network) Blocked(from, to Place) bool {
+func (n *Network) Blocked(from, to Host) bool {
 	blocked, _ := n.state(from, to)
 	return blocked
 }
 
 // Delay returns the one-way delay between two places.
-func (n *Network) Delay(from, to Place) time.Duration {
+func (n *Network) Delay(from, to Host) time.Duration {
 	return n.config.Delay(from, to)
 }
 
-func (n *Network) state(from, to Place) (bool, <-chan struct{}) {
+func (n *Network) state(from, to Host) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.blocked != nil && n.blocked(from, to), n.changed
 }
 
-func (n *Network) waitOpen(ctx context.Context, from, to Place) error {
+func (n *Network) waitOpen(ctx context.Context, from, to Host) error {
 	for {
 		blocked, changed := n.state(from, to)
 		if !blocked {
@@ -145,14 +145,14 @@
 }
 
 // Dialer returns a dialer for a process at place.
-func (n *Network) Dialer(from Place) *Dialer {
+func (n *Network) Dialer(from Host) *Dialer {
 	return &Dialer{network: n, from: from}
 }
 
 // Dialer opens streams from one place.
 type Dialer struct {
 	network *Network
-	from    Place
+	from    Host
 }
 
 // Dial opens a delayed stream to address, which a listener of the network
--- a/internal/rosesoak/fault.go
+++ b/internal/rosesoak/fault.go
@@ -42,7 +42,7 @@
 	}},
 	{"lose answers", func(s *soak) (func(), string) {
 		t := s.primary()
-		t.LoseAnswers(3)
+		t.DropAnswers(3)
 		return func() {}, string(t.id)
 	}},
 	{"store down", func(s *soak) (func(), string) {
@@ -55,7 +55,7 @@
 		return func() { p.store.set(modePass) }, p.name
 	}},
 	{"store loses answers", func(s *soak) (func(), string) {
-		s.store.LoseAnswers(2)
+		s.store.DropResponses(2)
 		return func() {}, ""
 	}},
 	{"store loses history", func(s *soak) (func(), string) {
@@ -68,7 +68,7 @@
 
 func (s *soak) primary() *target {
 	for _, t := range s.targets {
-		if t.id == s.group.Leader() {
+		if t.id == s.group.CurrentPrimary() {
 			return t
 		}
 	}
--- a/internal/rosesoak/soak.go
+++ b/internal/rosesoak/soak.go
@@ -139,7 +139,7 @@
 		listed[n] = rosemary.Target{ID: rosemary.TargetID(fmt.Sprint("t-", n+1)), Zone: rosemary.Zone(zone)}
 	}
 	s.group = rosestandin.NewGroup(rosestandin.GroupConfig{
-		Name: rosestandin.GroupName, Targets: listed, Lag: replicaLag, Work: workTime, PromoteDelay: promoteTime, Connections: connections,
+		Name: rosestandin.GroupName, Targets: listed, ApplyDelay: replicaLag, StatementDuration: workTime, PromoteDelay: promoteTime, MaxConnections: connections,
 	})
 	s.closers = append(s.closers, s.group.Close)
 	s.promoter = rosestandin.NewPromoter(s.group)
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	rosestandin.Configure(s.store, 1, connections)
+	rosestandin.PutConfiguration(s.store, 1, connections)
 	for n := range s.config.ProxiesPerZone * len(zones) {
 		p, err := newProcess(s.config.Directory, s.config.Program, fmt.Sprint("proxy-", n+1), zones[n%len(zones)], store, promoter)
 		if err != nil {
@@ -203,7 +203,7 @@
 	s.closers = append(s.closers, t.Close)
 	beating, cancel := context.WithCancel(ctx)
 	s.closers = append(s.closers, cancel)
-	s.tasks.Go(func() { rosestandin.Beat(beating, s.store, t.Target, listed) })
+	s.tasks.Go(func() { rosestandin.RunHeartbeat(beating, s.store, t.Target, listed) })
 	return nil
 }
 
--- a/internal/rosesoak/writer.go
+++ b/internal/rosesoak/writer.go
@@ -52,7 +52,7 @@
 
 func (w *writer) connect(ctx context.Context) bool {
 	w.at = w.soak.processes[w.random.IntN(len(w.soak.processes))]
-	client, err := rosestandin.Dial(ctx, w.at.callers, rosestandin.Own)
+	client, err := rosestandin.Dial(ctx, w.at.callers, rosestandin.ReadYourWritesRoute)
 	if err != nil {
 		return false
 	}
@@ -128,7 +128,7 @@
 	}
 	seen := 0
 	_, _ = fmt.Sscan(reply.Rows[0], &seen)
-	if seen < floor && w.soak.group.Survives(fmt.Sprintf("%s-%d", w.item, floor)) {
+	if seen < floor && w.soak.group.PrimaryHasWrite(fmt.Sprintf("%s-%d", w.item, floor)) {
 		w.soak.violate("%s read %d after %d was acknowledged", w.item, seen, floor)
 	}
 }
@@ -136,15 +136,15 @@
 // judge compares what the caller was told with what the targets ran.
 func (w *writer) judge() {
 	for id, outcome := range w.outcomes {
-		runs := w.soak.group.Runs(id)
+		runs := w.soak.group.CommitCount(id)
 		switch {
 		case runs > 1:
 			w.soak.violate("%s (%s) took effect %d times", id, outcome, runs)
-		case rosestandin.Promises(outcome) && runs > 0:
+		case rosestandin.NotApplied(outcome) && runs > 0:
 			w.soak.violate("%s was refused as %s and took effect", id, outcome)
 		case outcome == "acked" && runs == 0:
 			w.soak.violate("%s was acknowledged and never ran", id)
-		case outcome == "acked" && w.soak.group.CommittedLate(id):
+		case outcome == "acked" && w.soak.group.CommittedByStalePrimary(id):
 			w.soak.violate("%s was acknowledged by a replaced primary", id)
 		}
 	}
--- a/internal/rosestack/bundles.go
+++ b/internal/rosestack/bundles.go
@@ -36,7 +36,7 @@
 
 // operatorStore returns a client of the platform's store for an operator.
 func (s *Stack) operatorStore() *rosestore.Client {
-	place := rosenet.Place{Name: "operator", Zone: CallerZone}
+	place := rosenet.Host{Name: "operator", Zone: CallerZone}
 	return rosestore.NewClient(rosestore.Config{Address: s.platformAt, Dialer: s.Network.Dialer(place)})
 }
 
--- a/internal/rosestack/deployment.go
+++ b/internal/rosestack/deployment.go
@@ -142,7 +142,7 @@
 }
 
 // delay returns the one-way delay between two places of the deployment.
-func (d Deployment) delay(from, to rosenet.Place) time.Duration {
+func (d Deployment) delay(from, to rosenet.Host) time.Duration {
 	switch {
 	case from.Zone == CallerZone || to.Zone == CallerZone:
 		return d.CallerDelay
--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -103,7 +103,7 @@
 			return nil, err
 		}
 	}
-	s.Platform.CatchUp()
+	s.Platform.PublishMembers()
 	return s, s.awaitReady(ctx)
 }
 
@@ -129,7 +129,7 @@
 }
 
 // platformPlace is where the platform's services are.
-var platformPlace = rosenet.Place{Name: "platform", Zone: "platform"}
+var platformPlace = rosenet.Host{Name: "platform", Zone: "platform"}
 
 // rosterLag is how far the platform's VM list is behind.
 const rosterLag = 2 * time.Second
@@ -209,7 +209,7 @@
 	d := s.Config.Deployment
 	id := rosemary.TargetID(name + "-1")
 	target := rosemary.Target{ID: id, Address: s.Clusters[name].Target(id).Address()}
-	dialer := s.Network.Dialer(rosenet.Place{Name: "setup", Zone: d.Zones[0]})
+	dialer := s.Network.Dialer(rosenet.Host{Name: "setup", Zone: d.Zones[0]})
 	conn, err := rosepool.Open(ctx, dialer, target, rosepool.Credentials{User: "setup", Database: name})
 	if err != nil {
 		return trace.Wrap(err)
@@ -227,7 +227,7 @@
 func (s *Stack) StartProxy(i int) (*Proxy, error) {
 	d := s.Config.Deployment
 	p := &Proxy{Name: fmt.Sprintf("proxy-%d", i+1), Zone: d.Zones[i%len(d.Zones)]}
-	place := rosenet.Place{Name: p.Name, Zone: p.Zone}
+	place := rosenet.Host{Name: p.Name, Zone: p.Zone}
 	listener, err := s.Network.Listen(place, s.listenAddress(i))
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -268,7 +268,7 @@
 	return p, nil
 }
 
-func (s *Stack) serveAdmin(p *Proxy, place rosenet.Place) error {
+func (s *Stack) serveAdmin(p *Proxy, place rosenet.Host) error {
 	listener, err := s.Network.Listen(place, "")
 	if err != nil {
 		return trace.Wrap(err)
@@ -356,5 +356,5 @@
 
 // CallerDialer returns a dialer for a caller of that name.
 func (s *Stack) CallerDialer(name string) *rosenet.Dialer {
-	return s.Network.Dialer(rosenet.Place{Name: name, Zone: CallerZone})
+	return s.Network.Dialer(rosenet.Host{Name: name, Zone: CallerZone})
 }
--- a/internal/rosetarget/target.go
+++ b/internal/rosetarget/target.go
@@ -225,8 +225,8 @@
 	return rows
 }
 
-func (t *Target) place() rosenet.Place {
-	return rosenet.Place{Name: string(t.config.ID), Zone: string(t.config.Zone)}
+func (t *Target) place() rosenet.Host {
+	return rosenet.Host{Name: string(t.config.ID), Zone: string(t.config.Zone)}
 }
 
 // status is Status with the lock held.
--- a/pkg/rosepeer/tunnel_test.go
+++ b/pkg/rosepeer/tunnel_test.go
@@ -17,7 +17,7 @@
 
 // startMesh runs the mesh of one proxy on network until ctx ends.
 func startMesh(ctx context.Context, c *qt.C, network *rosenet.Network, name, zone string, seeds ...rosemary.Member) (*rosepeer.Mesh, rosemary.Member) {
-	place := rosenet.Place{Name: name, Zone: zone}
+	place := rosenet.Host{Name: name, Zone: zone}
 	listener, err := network.Listen(place, "")
 	c.Assert(err, qt.IsNil)
 	member := rosemary.Member{Proxy: rosemary.ProxyID(name), Zone: rosemary.Zone(zone), Address: listener.Addr().String()}
@@ -48,12 +48,12 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		_, second := startMesh(ctx, c, network, "second", "b")
 		first, _ := startMesh(ctx, c, network, "first", "a", second)
-		target, err := network.Listen(rosenet.Place{Name: "target", Zone: "b"}, "target:1")
+		target, err := network.Listen(rosenet.Host{Name: "target", Zone: "b"}, "target:1")
 		c.Assert(err, qt.IsNil)
-		network.SetBlocked(func(from, to rosenet.Place) bool { return from.Name == "first" && to.Name == "target" })
+		network.SetBlocked(func(from, to rosenet.Host) bool { return from.Name == "first" && to.Name == "target" })
 		time.Sleep(2 * time.Second)
 
-		dialer := rosepeer.NewTunnelDialer(network.Dialer(rosenet.Place{Name: "first", Zone: "a"}), func() *rosepeer.Mesh { return first })
+		dialer := rosepeer.NewTunnelDialer(network.Dialer(rosenet.Host{Name: "first", Zone: "a"}), func() *rosepeer.Mesh { return first })
 		go func() {
 			conn, err := target.Accept()
 			if err == nil {
@@ -69,7 +69,7 @@
 
 		// Closing the stream must not wait for a peer that has stopped
 		// answering.
-		network.Silence("second")
+		network.StallStreams("second")
 		started := time.Now()
 		conn.Close()
 		c.Check(time.Since(started), qt.Equals, time.Duration(0))
--- a/pkg/rosepool/pool_test.go
+++ b/pkg/rosepool/pool_test.go
@@ -26,7 +26,7 @@
 		c.Assert(cluster.Target("t").Start(), qt.IsNil)
 		pool := rosepool.NewPool(rosepool.Config{
 			Target: rosemary.Target{ID: "t", Address: cluster.Target("t").Address()},
-			Dialer: network.Dialer(rosenet.Place{Name: "p", Zone: "a"}),
+			Dialer: network.Dialer(rosenet.Host{Name: "p", Zone: "a"}),
 			Limit:  2,
 		})
 		check(c, pool, network)
@@ -55,7 +55,7 @@
 		conn, err := pool.Acquire(context.Background())
 		c.Assert(err, qt.IsNil)
 		pool.Release(conn)
-		network.Silence("t")
+		network.StallStreams("t")
 		time.Sleep(time.Minute)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -131,7 +131,7 @@
 	cluster := rosetarget.NewCluster(network, []rosetarget.Config{{ID: "t", Zone: "a", Slots: 2, Connections: 4}})
 	c.Assert(cluster.Target("t").Start(), qt.IsNil)
 	defer cluster.Close()
-	dialer := &countingDialer{Dialer: network.Dialer(rosenet.Place{Name: "p", Zone: "a"})}
+	dialer := &countingDialer{Dialer: network.Dialer(rosenet.Host{Name: "p", Zone: "a"})}
 	control := rosepool.NewControl(rosepool.Config{
 		Target: rosemary.Target{ID: "t", Address: cluster.Target("t").Address()},
 		Dialer: dialer,
--- a/pkg/roserelay/relay_test.go
+++ b/pkg/roserelay/relay_test.go
@@ -93,11 +93,11 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		network := rosenet.NewNetwork(rosenet.Config{InMemory: true, Delay: func(_, _ rosenet.Place) time.Duration { return time.Millisecond }})
+		network := rosenet.NewNetwork(rosenet.Config{InMemory: true, Delay: func(_, _ rosenet.Host) time.Duration { return time.Millisecond }})
 		defer network.Close()
 		e := &executor{latency: latency}
 		server := roserelay.NewServer(roserelay.ServerConfig{Executor: e})
-		listener, err := network.Listen(rosenet.Place{Name: "home", Zone: "b"}, "home:1")
+		listener, err := network.Listen(rosenet.Host{Name: "home", Zone: "b"}, "home:1")
 		c.Assert(err, qt.IsNil)
 		mux := http.NewServeMux()
 		mux.Handle("GET "+roserelay.Path, server)
@@ -109,7 +109,7 @@
 				c.Error(err)
 			}
 		}()
-		client := roserelay.NewClient(roserelay.ClientConfig{Dialer: network.Dialer(rosenet.Place{Name: "client", Zone: "a"})})
+		client := roserelay.NewClient(roserelay.ClientConfig{Dialer: network.Dialer(rosenet.Host{Name: "client", Zone: "a"})})
 		run(c, e, network, server, client)
 		client.Close()
 		server.Close()
@@ -153,7 +153,7 @@
 
 func TestTaskForUnreachableHomeIsNotSent(t *testing.T) {
 	runRelay(t, 0, func(c *qt.C, e *executor, network *rosenet.Network, _ *roserelay.Server, client *roserelay.Client) {
-		network.SetBlocked(func(_, _ rosenet.Place) bool { return true })
+		network.SetBlocked(func(_, _ rosenet.Host) bool { return true })
 		_, delivery := client.Run(context.Background(), home, task(rosemary.StatementWrite, "w1"))
 		c.Check(delivery, qt.Equals, roserelay.NotSent)
 		network.SetBlocked(nil)
@@ -171,7 +171,7 @@
 		open, result, delivery := client.Begin(context.Background(), home, task(rosemary.StatementWrite, "b1"))
 		c.Assert(delivery, qt.Equals, roserelay.Answered)
 		c.Assert(result.Answer.TransactionState, qt.Equals, rosemary.TransactionOpen)
-		network.SetBlocked(func(_, _ rosenet.Place) bool { return true })
+		network.SetBlocked(func(_, _ rosenet.Host) bool { return true })
 		next := task(rosemary.StatementCommit, "b2")
 		next.Deadline = time.Now().Add(10 * time.Second)
 		started := time.Now()
