--- a/internal/rosecommand/vm.go
+++ b/internal/rosecommand/vm.go
@@ -74,31 +74,31 @@
 	}
 	drainer := &drainer{}
 	node := newNode(settings, drainer.cutOff)
-	node.Metrics().CountDropped(lines.Dropped)
+	node.Metrics().TrackDroppedLogLines(lines.Dropped)
 	drainer.front = roseplatform.NewServer(node)
 	return serveVM(ctx, path, settings, node, drainer)
 }
 
-func newNode(settings rosesettings.VM, onCut func(bool)) *rosenode.Node {
+func newNode(settings rosesettings.VMSettings, onCut func(bool)) *rosenode.Node {
 	store := roseplatform.NewStore(settings.Store.Address, quickDialer{})
 	return rosenode.New(rosenode.Config{
 		Self: rosemary.Member{
 			Proxy: rosemary.ProxyID(settings.Name), Zone: rosemary.Zone(settings.Zone), Address: settings.Listen.Peers,
 			Weight: int(settings.Limits.CoreShare * weightOfCore),
 		},
-		Incarnation:    strconv.FormatInt(time.Now().UnixNano(), 36),
-		Store:          store,
-		Targets:        roseplatform.TargetRegistry{Store: store},
-		Configurations: roseplatform.ConfigurationStore{Store: store},
-		Promoter:       roseplatform.NewPromoter(settings.Promoter.Address, quickDialer{}),
-		Links:          roseplatform.TargetDialer{Dialer: quickDialer{}},
-		Dialer:         quickDialer{},
-		Clock:          roseclock.BootTime{},
-		OnCut:          onCut,
+		Incarnation:       strconv.FormatInt(time.Now().UnixNano(), 36),
+		Store:             store,
+		Targets:           roseplatform.TargetRegistry{Store: store},
+		Configurations:    roseplatform.ConfigurationStore{Store: store},
+		Promoter:          roseplatform.NewPromoter(settings.Promoter.Address, quickDialer{}),
+		TargetDialer:      roseplatform.TargetDialer{Dialer: quickDialer{}},
+		PeerDialer:        quickDialer{},
+		Clock:             roseclock.BootTime{},
+		OnZonePartitioned: onCut,
 	})
 }
 
-func serveVM(ctx context.Context, path string, settings rosesettings.VM, node *rosenode.Node, drainer *drainer) error {
+func serveVM(ctx context.Context, path string, settings rosesettings.VMSettings, node *rosenode.Node, drainer *drainer) error {
 	var config net.ListenConfig
 	var listeners []net.Listener
 	for _, address := range []string{settings.Listen.Callers, settings.Listen.Ready, settings.Listen.Admin, settings.Listen.Peers} {
@@ -166,12 +166,12 @@
 }
 
 // shutDown ends every session at a border, within the grace.
-func shutDown(callers net.Listener, settings rosesettings.VM, node *rosenode.Node, drainer *drainer) {
+func shutDown(callers net.Listener, settings rosesettings.VMSettings, node *rosenode.Node, drainer *drainer) {
 	front := drainer.front
 	started := time.Now()
 	grace := time.Duration(settings.Limits.GraceTime)
 	klog.InfoS("proxy stopping", "proxy", settings.Name, "callers", front.Callers(), "grace", grace)
-	node.Unready()
+	node.BeginDrain()
 	idleFrom := started.Add(min(rotationTime, grace/3))
 	drain := rosecaller.DrainDeadlines{IdleSessions: idleFrom, OpenTransactions: started.Add(grace / 2)}
 	node.SetDrain(drain)
@@ -184,7 +184,7 @@
 		ctx, cancel := context.WithDeadline(context.Background(), deadline)
 		defer cancel()
 		front.Wait()
-		node.Wait(ctx)
+		node.WaitRelayed(ctx)
 		close(done)
 	}()
 	select {
@@ -198,7 +198,7 @@
 
 // watchReload checks the settings file on SIGHUP. What it holds is bound to
 // the process: a change of it takes a restart.
-func watchReload(ctx context.Context, path string, settings rosesettings.VM) {
+func watchReload(ctx context.Context, path string, settings rosesettings.VMSettings) {
 	hangUps := make(chan os.Signal, 1)
 	signal.Notify(hangUps, syscall.SIGHUP)
 	defer signal.Stop(hangUps)
--- a/internal/rosedaemon/admin.go
+++ b/internal/rosedaemon/admin.go
@@ -189,7 +189,7 @@
 		Streaming:   t.Status.Streaming,
 		Leaving:     leaving || t.Status.Leaving,
 		AgeMs:       -1,
-		Connections: b.pools[t.ID].Open(),
+		Connections: b.pools[t.ID].OpenCount(),
 		InFlight:    load.InFlight,
 		Queued:      load.Queued,
 		Limit:       load.Limit,
--- a/internal/rosedaemon/backend.go
+++ b/internal/rosedaemon/backend.go
@@ -72,7 +72,7 @@
 			FirstInFirstOut: d.config.Baseline.FirstInFirstOut,
 		})
 		controls[t.ID] = rosepool.NewControl(config)
-		probes[t.ID] = rosepool.NewCommander(b.pools[t.ID])
+		probes[t.ID] = rosepool.NewPooledControl(b.pools[t.ID])
 	}
 	b.group = rosegroup.NewMonitor(rosegroup.Config{
 		Group:    group,
--- a/internal/rosedaemon/peers.go
+++ b/internal/rosedaemon/peers.go
@@ -150,7 +150,7 @@
 		Self:  d.config.Name,
 		Group: b.group,
 		Control: func(id rosemary.TargetID) rosemary.TargetControl {
-			return rosepool.NewCommander(b.pools[id])
+			return rosepool.NewPooledControl(b.pools[id])
 		},
 		Store: d.config.Store,
 		Rank: func() int {
--- a/internal/rosefront/execute.go
+++ b/internal/rosefront/execute.go
@@ -56,7 +56,7 @@
 // applySettings gives the connection the session's settings.
 func (c *caller) applySettings(ctx context.Context, conn *rosepool.Conn) error {
 	wanted := c.settings.fingerprint()
-	if conn.Settings == wanted || conn.TxStatus() != 'I' {
+	if conn.SettingsFingerprint == wanted || conn.TxStatus() != 'I' {
 		return nil
 	}
 	if _, err := conn.Query(ctx, c.settings.script()); err != nil {
@@ -66,7 +66,7 @@
 		}
 		return err
 	}
-	conn.Settings = wanted
+	conn.SettingsFingerprint = wanted
 	return nil
 }
 
@@ -234,8 +234,8 @@
 			return err
 		}
 	}
-	if e.position.Compare(conn.Committed) > 0 {
-		conn.Committed = e.position
+	if e.position.Compare(conn.LastCommit) > 0 {
+		conn.LastCommit = e.position
 		e.request.committed = e.position
 	}
 	return nil
@@ -244,11 +244,11 @@
 // runPart sends a part of a request that the caller will end later.
 func (e *execution) runPart(ctx context.Context, reader *replyReader, messages []pgproto3.FrontendMessage) error {
 	conn := e.lease.Conn
-	if err := conn.SendPart(ctx, messages); err != nil {
+	if err := conn.SendFlush(ctx, messages); err != nil {
 		return err
 	}
 	for reader.sendLocal(); len(reader.replies) > 0; reader.sendLocal() {
-		message, err := conn.ReceivePart(ctx)
+		message, err := conn.Receive(ctx)
 		if err != nil {
 			return err
 		}
--- a/internal/rosefront/prepared.go
+++ b/internal/rosefront/prepared.go
@@ -147,11 +147,11 @@
 
 // evict closes the oldest statement of a connection that has too many.
 func (t *translation) evict(conn *rosepool.Conn) {
-	oldest := conn.SurplusPrepared()
+	oldest := conn.PreparedToEvict()
 	if oldest == "" {
 		return
 	}
-	conn.ForgetPrepared(oldest)
+	conn.RemovePrepared(oldest)
 	t.evicts = true
 	t.add(&pgproto3.Close{ObjectType: 'S', Name: oldest}, reply{request: replyClose, hidden: true})
 }
--- a/internal/rosefront/replies.go
+++ b/internal/rosefront/replies.go
@@ -61,7 +61,7 @@
 
 func (rr *replyReader) note(r reply) {
 	if r.prepares != "" {
-		rr.conn.NotePrepared(r.prepares)
+		rr.conn.AddPrepared(r.prepares)
 	}
 }
 
--- a/internal/rosenode/follow.go
+++ b/internal/rosenode/follow.go
@@ -229,7 +229,7 @@
 	ctx, cancel := context.WithCancel(n.context)
 	g := &group{
 		Group: rosefleet.New(rosefleet.Config{
-			Name: name, Zone: n.config.Self.Zone, Dialer: n.config.Links, Clock: n.config.Clock,
+			Name: name, Zone: n.config.Self.Zone, Dialer: n.config.TargetDialer, Clock: n.config.Clock,
 			AllowPrimary: n.trusted, ZonePartitioned: n.cut.Load,
 		}),
 		cancel: cancel,
--- a/internal/rosenode/metrics.go
+++ b/internal/rosenode/metrics.go
@@ -42,7 +42,7 @@
 	m.set.GetOrCreateCounter("rosemary_unreadable_entries").Set(uint64(count))
 }
 
-// CountDropped adds the number of log lines left out.
-func (m *Metrics) CountDropped(dropped func() uint64) {
+// TrackDroppedLogLines adds the number of log lines left out.
+func (m *Metrics) TrackDroppedLogLines(dropped func() uint64) {
 	m.set.NewGauge("rosemary_log_lines_left_out", func() float64 { return float64(dropped()) })
 }
--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -30,14 +30,14 @@
 	Targets        rosemary.TargetSource
 	Configurations rosemary.ConfigurationSource
 	Promoter       rosemary.Promoter
-	Links          rosemary.TargetDialer
+	TargetDialer   rosemary.TargetDialer
 	// Dialer reaches the other proxies.
-	Dialer rosemary.Dialer
+	PeerDialer rosemary.Dialer
 	// Clock counts suspended time.
 	Clock roseclock.Clock
 	// OnCut is told when this proxy's zone is cut off from the others, and
 	// when it no longer is. It must not block; nil is told nothing.
-	OnCut func(cut bool)
+	OnZonePartitioned func(cut bool)
 }
 
 // keyPrefix is put before this product's keys in the store.
@@ -95,8 +95,8 @@
 
 // New returns a node; Run starts it.
 func New(config Config) *Node {
-	if config.OnCut == nil {
-		config.OnCut = func(bool) {}
+	if config.OnZonePartitioned == nil {
+		config.OnZonePartitioned = func(bool) {}
 	}
 	n := &Node{
 		config:  config,
@@ -110,7 +110,7 @@
 	n.mesh = n.newMesh()
 	n.carrier = rosecaller.NewLocalExecutor(rosecaller.LocalExecutorConfig{Group: n.Group, RetryBudget: n.budget})
 	n.relays = roserelay.NewServer(roserelay.ServerConfig{Executor: here{n}})
-	n.homes = roserelay.NewClient(roserelay.ClientConfig{Dialer: config.Dialer})
+	n.homes = roserelay.NewClient(roserelay.ClientConfig{Dialer: config.PeerDialer})
 	n.duty = rosesupervisor.NewLockManager(rosesupervisor.LockManagerConfig{
 		Store:          config.Store,
 		Clock:          config.Clock,
@@ -302,8 +302,8 @@
 	return true
 }
 
-// Unready takes the proxy out of the balancer's rotation.
-func (n *Node) Unready() {
+// BeginDrain takes the proxy out of the balancer's rotation.
+func (n *Node) BeginDrain() {
 	n.draining.Store(true)
 	n.mesh.Leave()
 }
@@ -311,8 +311,8 @@
 // SetDrain ends the transactions that other proxies have open here.
 func (n *Node) SetDrain(drain rosecaller.DrainDeadlines) { n.relays.SetDrain(drain) }
 
-// Wait returns once nothing is under way here for other proxies, or ctx ends.
-func (n *Node) Wait(ctx context.Context) { n.relays.Wait(ctx) }
+// WaitRelayed returns once nothing is under way here for other proxies, or ctx ends.
+func (n *Node) WaitRelayed(ctx context.Context) { n.relays.Wait(ctx) }
 
 // Metrics returns the node's metrics.
 func (n *Node) Metrics() *Metrics { return n.metrics }
--- a/internal/rosenode/peers.go
+++ b/internal/rosenode/peers.go
@@ -57,7 +57,7 @@
 			HeartbeatInterval: peerBeat,
 			FullMeshSize:      peerMesh,
 		},
-		Dialer:              n.config.Dialer,
+		Dialer:              n.config.PeerDialer,
 		TickInterval:        peerTick,
 		OnEvent:             n.peerEvent,
 		OnCancel:            func(_, _ uint32) {},
@@ -97,7 +97,7 @@
 			continue
 		}
 		klog.InfoS("cut off changed", "cutOff", cut, "zone", n.config.Self.Zone)
-		n.config.OnCut(cut)
+		n.config.OnZonePartitioned(cut)
 	}
 }
 
--- a/internal/rosenode/placement.go
+++ b/internal/rosenode/placement.go
@@ -129,16 +129,16 @@
 
 // homes returns the proxies that a task is passed on to.
 func (p placement) homes(task rosecaller.Task) []rosemary.Member {
-	homes := p.node.Homes(task.Route.Group)
+	homes := p.node.RelayHomes(task.Route.Group)
 	if len(homes) > 0 {
 		p.node.budget.Deposit()
 	}
 	return homes
 }
 
-// Homes returns the proxies that tasks of a group are passed on to, none if
+// RelayHomes returns the proxies that tasks of a group are passed on to, none if
 // they are run here: those of this proxy's zone first.
-func (n *Node) Homes(group string) []rosemary.Member {
+func (n *Node) RelayHomes(group string) []rosemary.Member {
 	c := n.configuration.Load()
 	if c == nil {
 		return nil
--- a/internal/rosesettings/vm.go
+++ b/internal/rosesettings/vm.go
@@ -12,9 +12,9 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-// VM holds the settings of a process whose targets and configuration are in
+// VMSettings holds the settings of a process whose targets and configuration are in
 // the platform's store.
-type VM struct {
+type VMSettings struct {
 	// Name identifies the proxy.
 	Name string
 	// Zone is the availability zone that the VM is in.
@@ -64,18 +64,18 @@
 
 // LoadVM reads and checks a settings file. The error is a
 // *rosebundle.FaultsError that lists every fault, or that of the file.
-func LoadVM(path string) (VM, error) {
+func LoadVM(path string) (VMSettings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return VM{}, trace.ConvertSystemError(err)
+		return VMSettings{}, trace.ConvertSystemError(err)
 	}
 	return ParseVM(string(text))
 }
 
 // ParseVM reads and checks the text of a settings file. Unknown keys are
 // passed over: the platform's template may be newer than the program.
-func ParseVM(text string) (VM, error) {
-	v := VM{Limits: VMLimits{GraceTime: defaultGrace}}
+func ParseVM(text string) (VMSettings, error) {
+	v := VMSettings{Limits: VMLimits{GraceTime: defaultGrace}}
 	if _, err := toml.Decode(text, &v); err != nil {
 		return v, &rosebundle.ValidationError{Faults: []rosebundle.Fault{
 			{Key: "(file)", Problem: err.Error(), Remedy: "correct the TOML"},
@@ -88,7 +88,7 @@
 }
 
 // Check returns every fault of the settings.
-func (v VM) Check() []rosebundle.Fault {
+func (v VMSettings) Check() []rosebundle.Fault {
 	var faults []rosebundle.Fault
 	add := func(wrong bool, key, problem, remedy string) {
 		if wrong {
--- a/pkg/rosepool/conn.go
+++ b/pkg/rosepool/conn.go
@@ -40,14 +40,14 @@
 	parameters map[string]string
 	prepared   preparedSet
 	// Committed is the position of the last commit on the connection.
-	Committed rosemary.Position
+	LastCommit rosemary.Position
 	// Settings is the fingerprint of the session settings applied.
-	Settings   string
-	generation uint64
-	lastUsed   time.Time
-	status     byte
-	broken     bool
-	written    bool
+	SettingsFingerprint string
+	generation          uint64
+	lastUsed            time.Time
+	status              byte
+	broken              bool
+	written             bool
 }
 
 // Open connects to a target and completes the handshake before ctx ends.
@@ -224,8 +224,8 @@
 	}
 }
 
-// SendPart sends messages that no ReadyForQuery will answer.
-func (c *Conn) SendPart(ctx context.Context, messages []pgproto3.FrontendMessage) error {
+// SendFlush sends messages that no ReadyForQuery will answer.
+func (c *Conn) SendFlush(ctx context.Context, messages []pgproto3.FrontendMessage) error {
 	release := c.guard(ctx)
 	defer release()
 	for _, m := range messages {
@@ -240,8 +240,8 @@
 	return nil
 }
 
-// ReceivePart takes one message.
-func (c *Conn) ReceivePart(ctx context.Context) (pgproto3.BackendMessage, error) {
+// Receive takes one message.
+func (c *Conn) Receive(ctx context.Context) (pgproto3.BackendMessage, error) {
 	release := c.guard(ctx)
 	defer release()
 	message, err := c.frontend.Receive()
--- a/pkg/rosepool/control.go
+++ b/pkg/rosepool/control.go
@@ -88,7 +88,7 @@
 		&pgproto3.Execute{}, &pgproto3.Sync{})
 	rows, err := c.collect(ctx, messages)
 	if err == nil {
-		c.NotePrepared(watchStatement)
+		c.AddPrepared(watchStatement)
 	}
 	return rows, err
 }
--- a/pkg/rosepool/pool.go
+++ b/pkg/rosepool/pool.go
@@ -214,8 +214,8 @@
 	p.closeIdle(0)
 }
 
-// Open returns the number of connections open now.
-func (p *Pool) Open() int {
+// OpenCount returns the number of connections open now.
+func (p *Pool) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
--- a/pkg/rosepool/pool_test.go
+++ b/pkg/rosepool/pool_test.go
@@ -79,7 +79,7 @@
 		defer cancel()
 		_, err = pool.Acquire(ctx)
 		c.Check(err, qt.ErrorMatches, ".*no free connection.*")
-		status, err := rosepool.NewCommander(pool).Watch(context.Background(), rosemary.Status{}, 0)
+		status, err := rosepool.NewPooledControl(pool).Watch(context.Background(), rosemary.Status{}, 0)
 		c.Assert(err, qt.IsNil, qt.Commentf("control calls don't wait behind statements"))
 		c.Check(status.Role, qt.Equals, rosemary.RolePrimary)
 		pool.Release(first)
@@ -88,7 +88,7 @@
 		c.Check(third == first, qt.IsTrue)
 		pool.Release(second)
 		pool.Release(third)
-		c.Check(pool.Open(), qt.Equals, 2)
+		c.Check(pool.OpenCount(), qt.Equals, 2)
 	})
 }
 
--- a/pkg/rosepool/prepared.go
+++ b/pkg/rosepool/prepared.go
@@ -19,8 +19,8 @@
 	return ok
 }
 
-// NotePrepared records a statement that the target has prepared.
-func (c *Conn) NotePrepared(name string) {
+// AddPrepared records a statement that the target has prepared.
+func (c *Conn) AddPrepared(name string) {
 	if c.HasPrepared(name) {
 		return
 	}
@@ -28,8 +28,8 @@
 	c.prepared.order = append(c.prepared.order, name)
 }
 
-// ForgetPrepared records that a statement is gone.
-func (c *Conn) ForgetPrepared(name string) {
+// RemovePrepared records that a statement is gone.
+func (c *Conn) RemovePrepared(name string) {
 	if !c.HasPrepared(name) {
 		return
 	}
@@ -37,9 +37,9 @@
 	c.prepared.order = slices.DeleteFunc(c.prepared.order, func(n string) bool { return n == name })
 }
 
-// SurplusPrepared returns the oldest statement when there are too many, for
+// PreparedToEvict returns the oldest statement when there are too many, for
 // the caller to close, or an empty string.
-func (c *Conn) SurplusPrepared() string {
+func (c *Conn) PreparedToEvict() string {
 	if len(c.prepared.order) < c.prepared.most {
 		return ""
 	}
