--- a/internal/rosecommand/bundle_status.go
+++ b/internal/rosecommand/bundle_status.go
@@ -55,5 +55,5 @@
 		return bundleRow{Proxy: a.Address, Behind: newest, Note: a.Error}
 	}
 	b := a.State.Bundle
-	return bundleRow{string(a.State.Name), string(a.State.Zone), b.Version, b.Since, newest - b.Version, b.Refused}
+	return bundleRow{string(a.State.Name), string(a.State.Zone), b.Version, b.Since, newest - b.Version, b.LastError}
 }
--- a/internal/rosecommand/daemon.go
+++ b/internal/rosecommand/daemon.go
@@ -126,7 +126,7 @@
 		Seeds:          settings.SeedMembers(),
 		Operators:      rosebundle.OperatorList{Operators: settings.Operators, Signatures: settings.Signatures},
 		Store:          store,
-		Roster:         rosestore.NewMemberSource(store),
+		MemberSource:   rosestore.NewMemberSource(store),
 	}), nil
 }
 
@@ -152,9 +152,9 @@
 		"peers", listeners[1].Addr().String(), "admin", listeners[2].Addr().String())
 	select {
 	case <-ctx.Done():
-	case <-daemon.DrainAsked:
+	case <-daemon.DrainRequested:
 	}
-	daemon.Unready()
+	daemon.MarkUnready()
 	time.Sleep(balancerTime)
 	listeners[0].Close()
 	draining, cancel := context.WithTimeout(context.Background(), time.Duration(settings.Limits.DrainTime))
--- a/internal/rosedaemon/admin.go
+++ b/internal/rosedaemon/admin.go
@@ -30,7 +30,7 @@
 	Digest  string
 	Since   time.Time
 	// Refused tells why the last bundle seen was refused.
-	Refused string `json:",omitempty"`
+	LastError string `json:"Refused,omitempty"`
 }
 
 // GroupState is one database.
@@ -60,11 +60,11 @@
 
 // PeerState is another proxy as this one sees it.
 type PeerState struct {
-	Name    rosemary.ProxyID
-	Zone    rosemary.Zone
-	State   string
-	Proven  bool
-	Version uint64
+	Name      rosemary.ProxyID
+	Zone      rosemary.Zone
+	State     string
+	Confirmed bool `json:"Proven"`
+	Version   uint64
 }
 
 // Admin serves health, metrics, state and operators' requests.
@@ -119,7 +119,7 @@
 
 func (d *Daemon) serveMove(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	primary, err := d.Move(r.Context(), query.Get("database"), rosemary.TargetID(query.Get("target")))
+	primary, err := d.MovePrimary(r.Context(), query.Get("database"), rosemary.TargetID(query.Get("target")))
 	if err != nil {
 		http.Error(w, trace.UserMessage(err), trace.ErrorToCode(err))
 		return
@@ -128,7 +128,7 @@
 }
 
 func (d *Daemon) serveDrain(w http.ResponseWriter, _ *http.Request) {
-	d.drainOnce.Do(func() { close(d.DrainAsked) })
+	d.drainOnce.Do(func() { close(d.DrainRequested) })
 	writeJSON(w, struct{ Draining bool }{true})
 }
 
@@ -151,7 +151,7 @@
 		Bundle:   BundleState{Version: manifest.Version, Digest: manifest.Digest(), Since: since},
 	}
 	if refused := d.updater.LastError(); refused != nil {
-		state.Bundle.Refused = trace.UserMessage(refused)
+		state.Bundle.LastError = trace.UserMessage(refused)
 	}
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/rosedaemon/bundle.go
+++ b/internal/rosedaemon/bundle.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// Version returns the version of the bundle in force, zero for none.
-func (d *Daemon) Version() uint64 {
+// BundleVersion returns the version of the bundle in force, zero for none.
+func (d *Daemon) BundleVersion() uint64 {
 	current, _ := d.updater.Current()
 	return current.Version
 }
--- a/internal/rosedaemon/daemon.go
+++ b/internal/rosedaemon/daemon.go
@@ -54,15 +54,15 @@
 	// Operators are the keys that a first bundle must be signed with.
 	Operators rosebundle.OperatorList
 	// Store and Roster are the platform's; either may be nil.
-	Store    rosemary.Store
-	Roster   rosemary.MemberSource
-	Baseline Baseline
+	Store        rosemary.Store
+	MemberSource rosemary.MemberSource
+	Baseline     Baseline
 }
 
 // Daemon is one proxy.
 type Daemon struct {
 	// DrainAsked closes when an operator asks for a graceful shutdown.
-	DrainAsked chan struct{}
+	DrainRequested chan struct{}
 
 	drainOnce sync.Once
 
@@ -95,7 +95,7 @@
 	d := &Daemon{config: config, content: &rosebundle.Content{}, backends: make(map[string]*backend), metrics: rosefront.NewMetrics()}
 	d.lender = roselend.NewLender()
 	d.queued = make(chan struct{}, 1)
-	d.DrainAsked = make(chan struct{})
+	d.DrainRequested = make(chan struct{})
 	d.behind = make(chan rosemary.ProxyID, 1)
 	d.newMesh()
 	d.updater = d.newUpdater()
@@ -223,8 +223,8 @@
 // Peers returns the number of peers that this proxy has a link to.
 func (d *Daemon) Peers() int { return len(d.mesh.LinkedPeers()) }
 
-// Unready makes the balancer send callers elsewhere.
-func (d *Daemon) Unready() {
+// MarkUnready makes the balancer send callers elsewhere.
+func (d *Daemon) MarkUnready() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.unready = true
@@ -243,7 +243,7 @@
 
 // Close ends everything at once.
 func (d *Daemon) Close() {
-	d.front.Kill()
+	d.front.CloseConnections()
 	d.mu.Lock()
 	backends := d.backends
 	d.backends = make(map[string]*backend)
--- a/internal/rosedaemon/peers.go
+++ b/internal/rosedaemon/peers.go
@@ -62,11 +62,11 @@
 // followRoster learns of peers from the platform's list, which lags and may
 // be out of reach: a member counts only once it was heard.
 func (d *Daemon) followRoster(ctx context.Context) {
-	if d.config.Roster == nil {
+	if d.config.MemberSource == nil {
 		return
 	}
 	for ctx.Err() == nil {
-		members, err := d.config.Roster.Members(ctx)
+		members, err := d.config.MemberSource.Members(ctx)
 		if err == nil {
 			d.mesh.AddMembers(members)
 		} else if ctx.Err() == nil {
@@ -164,8 +164,8 @@
 	})
 }
 
-// Move makes another target of a database its primary.
-func (d *Daemon) Move(ctx context.Context, database string, to rosemary.TargetID) (rosemary.TargetID, error) {
+// MovePrimary makes another target of a database its primary.
+func (d *Daemon) MovePrimary(ctx context.Context, database string, to rosemary.TargetID) (rosemary.TargetID, error) {
 	d.mu.RLock()
 	b := d.backends[database]
 	d.mu.RUnlock()
--- a/internal/rosefront/handshake_test.go
+++ b/internal/rosefront/handshake_test.go
@@ -54,7 +54,7 @@
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() {
 		listener.Close()
-		server.Kill()
+		server.CloseConnections()
 	})
 	return listener.Addr().String()
 }
--- a/internal/rosefront/server.go
+++ b/internal/rosefront/server.go
@@ -214,8 +214,8 @@
 	}
 }
 
-// Kill closes every caller's connection at once, as the death of the VM would.
-func (s *Server) Kill() {
+// CloseConnections closes every caller's connection at once, as the death of the VM would.
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.callers {
--- a/internal/roseload/fault_primary.go
+++ b/internal/roseload/fault_primary.go
@@ -89,7 +89,7 @@
 // strikeMove moves the primary as an operator would.
 func strikeMove(ctx context.Context, f *faults) {
 	p := f.run.stack.Running()[f.pick(len(f.run.stack.Running()))]
-	if _, err := p.Daemon.Move(ctx, f.database(), ""); err != nil {
+	if _, err := p.Daemon.MovePrimary(ctx, f.database(), ""); err != nil {
 		klog.InfoS("primary not moved", "err", err)
 	}
 }
--- a/internal/rosestack/bundles.go
+++ b/internal/rosestack/bundles.go
@@ -80,4 +80,4 @@
 }
 
 // Version returns the version in force at a proxy.
-func (p *Proxy) Version() uint64 { return p.Daemon.Version() }
+func (p *Proxy) Version() uint64 { return p.Daemon.BundleVersion() }
--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -239,17 +239,17 @@
 	dialer := s.Network.Dialer(place)
 	p.store = rosestore.NewClient(rosestore.Config{Address: s.platformAt, Dialer: dialer})
 	p.Daemon = rosedaemon.New(rosedaemon.Config{
-		Name:        rosemary.ProxyID(p.Name),
-		Zone:        rosemary.Zone(p.Zone),
-		Proxies:     d.Proxies,
-		Dialer:      dialer,
-		Keys:        s.keys,
-		TargetUser:  "rosemary",
-		PeerAddress: p.peers.Addr().String(),
-		Store:       p.store,
-		Operators:   s.operators(),
-		Roster:      rosestore.NewMemberSource(p.store),
-		Baseline:    s.Config.Baseline,
+		Name:         rosemary.ProxyID(p.Name),
+		Zone:         rosemary.Zone(p.Zone),
+		Proxies:      d.Proxies,
+		Dialer:       dialer,
+		Keys:         s.keys,
+		TargetUser:   "rosemary",
+		PeerAddress:  p.peers.Addr().String(),
+		Store:        p.store,
+		Operators:    s.operators(),
+		MemberSource: rosestore.NewMemberSource(p.store),
+		Baseline:     s.Config.Baseline,
 	})
 	p.Address = listener.Addr().String()
 	p.tasks.Go(func() { _ = p.Daemon.Serve(listener) })
