--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -164,14 +164,14 @@
 		var configs []rosetarget.Config
 		for j := range d.Zones {
 			configs = append(configs, rosetarget.Config{
-				ID:          rosemary.TargetID(fmt.Sprintf("%s-%d", name, j+1)),
-				Zone:        rosemary.Zone(d.Zones[(i+j)%len(d.Zones)]),
-				Slots:       d.Slots,
-				Connections: d.Connections,
-				ConnectTime: d.ConnectTime,
-				ReadTime:    d.ReadTime,
-				WriteTime:   d.WriteTime,
-				ListTime:    d.ListTime,
+				ID:             rosemary.TargetID(fmt.Sprintf("%s-%d", name, j+1)),
+				Zone:           rosemary.Zone(d.Zones[(i+j)%len(d.Zones)]),
+				Slots:          d.Slots,
+				MaxConnections: d.Connections,
+				ConnectTime:    d.ConnectTime,
+				ReadTime:       d.ReadTime,
+				WriteTime:      d.WriteTime,
+				ScanTime:       d.ListTime,
 			})
 		}
 		cluster := rosetarget.NewCluster(s.Network, configs)
--- a/internal/rosestack/stack_test.go
+++ b/internal/rosestack/stack_test.go
@@ -119,7 +119,7 @@
 		targets := stack.Clusters["licencias1"].Targets()
 		for _, target := range targets {
 			const everyTwentieth = 20
-			target.SetSlow(everyTwentieth, 450*time.Millisecond)
+			target.SetSlowWatches(everyTwentieth, 450*time.Millisecond)
 		}
 		targets["licencias1-2"].SetLag(5 * time.Second)
 		conn := connect(c, stack, 0, nil)
--- a/internal/rosetarget/describe.go
+++ b/internal/rosetarget/describe.go
@@ -41,12 +41,12 @@
 			return false
 		}
 		at := t.index(name)
-		return at >= 0 && t.columns[at].Number
+		return at >= 0 && t.columns[at].Integer
 	}
 	note := func(e *expression, isNumber bool) {
 		for ; e != nil; e = e.addend {
 			if e.param > 0 {
-				types[e.param] = column{Number: isNumber}.oid()
+				types[e.param] = column{Integer: isNumber}.oid()
 			}
 		}
 	}
--- a/internal/rosetarget/encode.go
+++ b/internal/rosetarget/encode.go
@@ -33,14 +33,14 @@
 }
 
 func (c column) oid() uint32 {
-	if c.Number {
+	if c.Integer {
 		return oidInt8
 	}
 	return oidText
 }
 
 func (c column) size() int16 {
-	if c.Number {
+	if c.Integer {
 		return 8
 	}
 	return -1
@@ -85,7 +85,7 @@
 	if v.Null {
 		return nil
 	}
-	if format == 1 && c.Number {
+	if format == 1 && c.Integer {
 		number, _ := strconv.ParseInt(v.Text, 10, 64)
 		return binary.BigEndian.AppendUint64(nil, uint64(number))
 	}
--- a/internal/rosetarget/execute.go
+++ b/internal/rosetarget/execute.go
@@ -188,7 +188,7 @@
 		if v.Null || r[at].Null {
 			return false, nil
 		}
-		hit, err := matches(c.operator, compareValues(t.columns[at].Number, r[at], v))
+		hit, err := matches(c.operator, compareValues(t.columns[at].Integer, r[at], v))
 		if err != nil || !hit {
 			return false, err
 		}
@@ -291,11 +291,11 @@
 	return x.matching(t, s, params)
 }
 
-var countColumns = []column{{Name: "count", Number: true}}
+var countColumns = []column{{Name: "count", Integer: true}}
 
 func literalColumns(s *statement) []column {
 	_, err := strconv.ParseInt(s.rows[0][0].literal.Text, 10, 32)
-	return []column{{Name: "?column?", Number: err == nil}}
+	return []column{{Name: "?column?", Integer: err == nil}}
 }
 
 func (x *transaction) project(t *table, s *statement, keys []string, params []value) (*result, error) {
@@ -308,7 +308,7 @@
 	}
 	x.target.mu.Unlock()
 	if at := t.index(s.orderBy); at >= 0 {
-		slices.SortStableFunc(rows, func(a, b row) int { return compareValues(t.columns[at].Number, a[at], b[at]) })
+		slices.SortStableFunc(rows, func(a, b row) int { return compareValues(t.columns[at].Integer, a[at], b[at]) })
 	}
 	if s.descending {
 		slices.Reverse(rows)
--- a/internal/rosetarget/functions.go
+++ b/internal/rosetarget/functions.go
@@ -12,7 +12,7 @@
 // statusColumns are those of the functions that report a status.
 var statusColumns = []column{
 	{Name: "target"},
-	{Name: "term", Number: true},
+	{Name: "term", Integer: true},
 	{Name: "position"},
 	{Name: "role"},
 	{Name: "primary"},
@@ -36,7 +36,7 @@
 }
 
 func oneColumn(name string, number bool, text string) *result {
-	return &result{columns: []column{{Name: name, Number: number}}, rows: []row{{{Text: text}}}, tag: "SELECT 1"}
+	return &result{columns: []column{{Name: name, Integer: number}}, rows: []row{{{Text: text}}}, tag: "SELECT 1"}
 }
 
 // functionColumns describes a function's answer without calling it.
--- a/internal/rosetarget/log.go
+++ b/internal/rosetarget/log.go
@@ -41,7 +41,7 @@
 
 func newDatabase() *database {
 	return &database{tables: map[string]*table{
-		requestsTable: newTable([]column{{Name: "id", Key: true}, {Name: "state"}}),
+		requestsTable: newTable([]column{{Name: "id", PrimaryKey: true}, {Name: "state"}}),
 	}}
 }
 
--- a/internal/rosetarget/parser.go
+++ b/internal/rosetarget/parser.go
@@ -189,10 +189,10 @@
 		if err != nil {
 			return nil, err
 		}
-		c.Number = slices.Contains([]string{"bigint", "int", "integer", "int8"}, kind)
-		c.Key = p.word("primary", "key")
+		c.Integer = slices.Contains([]string{"bigint", "int", "integer", "int8"}, kind)
+		c.PrimaryKey = p.word("primary", "key")
 		if p.word("not", "null") {
-			c.Key = c.Key || p.word("primary", "key")
+			c.PrimaryKey = c.PrimaryKey || p.word("primary", "key")
 		}
 		s.defined = append(s.defined, c)
 		if p.symbol(")") {
--- a/internal/rosetarget/session.go
+++ b/internal/rosetarget/session.go
@@ -358,5 +358,5 @@
 			return t.config.ReadTime
 		}
 	}
-	return max(t.config.ListTime, t.config.ReadTime)
+	return max(t.config.ScanTime, t.config.ReadTime)
 }
--- a/internal/rosetarget/table.go
+++ b/internal/rosetarget/table.go
@@ -17,9 +17,9 @@
 type row []value
 
 type column struct {
-	Name   string
-	Number bool
-	Key    bool
+	Name       string
+	Integer    bool
+	PrimaryKey bool
 }
 
 // table holds rows by encoded key, with the keys in order.
@@ -33,7 +33,7 @@
 func newTable(columns []column) *table {
 	t := &table{columns: columns, rows: make(map[string]row)}
 	for i, c := range columns {
-		if c.Key {
+		if c.PrimaryKey {
 			t.key = i
 		}
 	}
@@ -46,7 +46,7 @@
 
 // encodeKey returns a string that orders as the key column does.
 func (t *table) encodeKey(v value) string {
-	if !t.columns[t.key].Number {
+	if !t.columns[t.key].Integer {
 		return v.Text
 	}
 	number, _ := strconv.ParseInt(v.Text, 10, 64)
--- a/internal/rosetarget/target.go
+++ b/internal/rosetarget/target.go
@@ -24,14 +24,14 @@
 	// Slots is the number of statements that run at once.
 	Slots int
 	// Connections is the number of connections accepted at once.
-	Connections int
+	MaxConnections int
 	// ConnectTime is what a new connection costs.
 	ConnectTime time.Duration
 	// ReadTime and WriteTime are how long a statement holds its slot.
 	ReadTime  time.Duration
 	WriteTime time.Duration
 	// ListTime is ReadTime's counterpart for reads of many rows.
-	ListTime time.Duration
+	ScanTime time.Duration
 	Network  *rosenet.Network
 }
 
@@ -173,8 +173,8 @@
 	t.notify()
 }
 
-// SetSlow makes one of every so many watches take longer to answer.
-func (t *Target) SetSlow(every int, slow time.Duration) {
+// SetSlowWatches makes one of every so many watches take longer to answer.
+func (t *Target) SetSlowWatches(every int, slow time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.slowEvery, t.slowTime = every, slow
@@ -267,7 +267,7 @@
 func (t *Target) enter(r *run, s *session) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.running != r || len(r.sessions) >= t.config.Connections {
+	if t.running != r || len(r.sessions) >= t.config.MaxConnections {
 		return false
 	}
 	r.nextPID++
