--- a/internal/rosecommand/demo.go
+++ b/internal/rosecommand/demo.go
@@ -66,13 +66,13 @@
 	for _, p := range stack.Proxies {
 		fmt.Fprintf(environment.Out, "proxy=%s zone=%s address=%s admin=%s\n", p.Name, p.Zone, p.Address, p.AdminAddress)
 	}
-	for _, d := range stack.Content.Databases {
+	for _, d := range stack.BundleContent.Databases {
 		for _, t := range d.Targets {
 			fmt.Fprintf(environment.Out, "target=%s database=%s zone=%s address=%s\n", t.ID, d.Name, t.Zone, t.Address)
 		}
 	}
 	fmt.Fprintf(environment.Out, "store=%s\n", stack.PlatformAddress())
-	first := stack.Content
+	first := stack.BundleContent
 	address := "none"
 	if len(stack.Proxies) > 0 {
 		address = stack.Proxies[0].Address
--- a/internal/rosecommand/load.go
+++ b/internal/rosecommand/load.go
@@ -43,7 +43,7 @@
 	}
 	config := roseload.Config{
 		Deployment: deployment,
-		For:        *span,
+		Duration:   *span,
 		Seed:       *seed,
 		Rate:       *rate,
 		Faults:     roseload.SplitFaults(*faults),
@@ -60,7 +60,7 @@
 	if err := printJSON(environment, report); err != nil {
 		return err
 	}
-	return brokenPromises(report.Violations())
+	return brokenPromises(report.ViolationCount())
 }
 
 func brokenPromises(violations int) error {
--- a/internal/roseload/bundles.go
+++ b/internal/roseload/bundles.go
@@ -45,8 +45,8 @@
 // observe looks at every proxy until ctx ends.
 func (b *bundles) observe(ctx context.Context) {
 	for roseclock.Sleep(ctx, observeInterval) {
-		for _, p := range b.run.stack.Running() {
-			b.look(p, p.Version())
+		for _, p := range b.run.stack.RunningProxies() {
+			b.look(p, p.BundleVersion())
 		}
 	}
 }
@@ -76,7 +76,7 @@
 
 // propose makes a changed bundle and notes when it was accepted.
 func (b *bundles) propose(ctx context.Context, change func(*rosebundle.Content)) error {
-	version, err := b.run.stack.Propose(ctx, change)
+	version, err := b.run.stack.ProposeBundle(ctx, change)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 	var times []time.Duration
 	missing := 0
 	for version, at := range b.accepted {
-		for _, p := range b.run.stack.Running() {
+		for _, p := range b.run.stack.RunningProxies() {
 			from := at
 			if b.excused[p.Name] && b.excusedUntil.After(at) {
 				from = b.excusedUntil
--- a/internal/roseload/check.go
+++ b/internal/roseload/check.go
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	if len(sets) > SeedSets {
+	if len(sets) > MaxTransactionRows {
 		return
 	}
 	if len(marks) > 1 || len(sets) > 1 || len(marks) == 1 && (len(sets) != 1 || sets[0] != marks[0]) {
@@ -93,9 +93,9 @@
 	}
 }
 
-// SeedSets is the number of rows above which a record is one that filled the
+// MaxTransactionRows is the number of rows above which a record is one that filled the
 // tables.
-const SeedSets = 10
+const MaxTransactionRows = 10
 
 func (tr *truth) set(key string, value int64, at time.Time) {
 	reg := tr.registers[key]
@@ -145,11 +145,11 @@
 		}
 	}
 	for _, o := range operations {
-		if o.Wrong {
+		if o.WrongAnswer {
 			f.note(&f.WrongAnswers, "%s %s of %s got another's answer", o.Session, o.Kind, o.Key)
 		}
 		switch o.Kind {
-		case KindOnce:
+		case KindInsert:
 			f.checkOnce(tr, o)
 		case KindWrite, KindSwap:
 			f.checkWrite(tr, o)
@@ -187,7 +187,7 @@
 // checkAge looks for values that had been replaced for longer than the class
 // allows when the read was sent.
 func (f *findings) checkAge(tr *truth, o Operation) {
-	for key, value := range o.Seen {
+	for key, value := range o.ReadValues {
 		reg := tr.registers[key]
 		if reg == nil {
 			continue
@@ -207,7 +207,7 @@
 	type sessionKey struct{ session, key string }
 	latest := make(map[sessionKey]int)
 	for _, o := range inOrder(operations) {
-		for key, value := range o.Seen {
+		for key, value := range o.ReadValues {
 			reg := tr.registers[key]
 			floor, wrote := latest[sessionKey{o.Session, key}]
 			if reg == nil || !wrote || o.Outcome != OutcomeAnswered {
--- a/internal/roseload/fault_bundle.go
+++ b/internal/roseload/fault_bundle.go
@@ -119,7 +119,7 @@
 // awaitServing notes how long a new proxy took to have a bundle in force.
 func (b *bundles) awaitServing(ctx context.Context, p *rosestack.Proxy) {
 	started := time.Now()
-	for p.Version() == 0 && roseclock.Sleep(ctx, observeInterval) {
+	for p.BundleVersion() == 0 && roseclock.Sleep(ctx, observeInterval) {
 		continue
 	}
 	klog.InfoS("proxy serves without the store", "proxy", p.Name, "after", time.Since(started))
--- a/internal/roseload/fault_overload.go
+++ b/internal/roseload/fault_overload.go
@@ -26,7 +26,7 @@
 func (r *run) floodRate() float64 {
 	d := r.config.Deployment
 	replicas := float64(len(d.Databases) * (len(d.Zones) - 1))
-	capacity := replicas * float64(d.Slots) / d.ListTime.Seconds()
+	capacity := replicas * float64(d.Slots) / d.ScanTime.Seconds()
 	weights := 0.0
 	for _, t := range d.Tenants {
 		weights += r.weight(t.Name)
--- a/internal/roseload/fault_primary.go
+++ b/internal/roseload/fault_primary.go
@@ -88,7 +88,7 @@
 
 // strikeMove moves the primary as an operator would.
 func strikeMove(ctx context.Context, f *faults) {
-	p := f.run.stack.Running()[f.pick(len(f.run.stack.Running()))]
+	p := f.run.stack.RunningProxies()[f.pick(len(f.run.stack.RunningProxies()))]
 	if _, err := p.Daemon.MovePrimary(ctx, f.database(), ""); err != nil {
 		klog.InfoS("primary not moved", "err", err)
 	}
@@ -96,7 +96,7 @@
 
 func (f *faults) zoneOf(t *rosetarget.Target) string {
 	id := string(t.Status().Target)
-	for _, d := range f.run.stack.Content.Databases {
+	for _, d := range f.run.stack.BundleContent.Databases {
 		for _, target := range d.Targets {
 			if target.ID == id {
 				return target.Zone
--- a/internal/roseload/fault_store.go
+++ b/internal/roseload/fault_store.go
@@ -47,7 +47,7 @@
 // the primary: the next supervisor has to act.
 func strikePaused(ctx context.Context, f *faults) {
 	var members []rosemary.Member
-	for _, p := range f.run.stack.Running() {
+	for _, p := range f.run.stack.RunningProxies() {
 		members = append(members, rosemary.Member{Proxy: rosemary.ProxyID(p.Name)})
 	}
 	first := string(rosepeer.RendezvousOrder("supervise/"+f.database(), members)[0].Proxy)
--- a/internal/roseload/faults.go
+++ b/internal/roseload/faults.go
@@ -72,7 +72,7 @@
 
 // play brings the faults about and heals them.
 func (f *faults) play(ctx context.Context) error {
-	third := f.run.config.For / 3
+	third := f.run.config.Duration / 3
 	if len(f.chosen) == 0 || !roseclock.Sleep(ctx, third) {
 		return nil
 	}
--- a/internal/roseload/history.go
+++ b/internal/roseload/history.go
@@ -17,7 +17,7 @@
 	// KindWrite sets a register, and may be repeated.
 	KindWrite Kind = "write"
 	// KindOnce inserts a row that must not be there twice.
-	KindOnce Kind = "once"
+	KindInsert Kind = "once"
 	// KindSwap reads and sets a register in a transaction.
 	KindSwap Kind = "swap"
 )
@@ -47,12 +47,12 @@
 	// Attempt counts the tries of a KindOnce under one request identifier.
 	Attempt int
 	// Seen holds the registers read, by key.
-	Seen map[string]int64
+	ReadValues map[string]int64
 	// Wrong is set when the answer was not to this request.
-	Wrong  bool
-	MaxAge time.Duration
+	WrongAnswer bool
+	MaxAge      time.Duration
 	// Sent is when the request was due; Start when it was sent.
-	Sent    time.Time
+	Due     time.Time
 	Start   time.Time
 	End     time.Time
 	Outcome Outcome
--- a/internal/roseload/linear.go
+++ b/internal/roseload/linear.go
@@ -60,7 +60,7 @@
 		if _, known := clients[o.Session]; !known {
 			clients[o.Session] = len(clients)
 		}
-		out := swapOutput{seen: o.Seen[o.Key], unknown: o.Outcome != OutcomeAnswered}
+		out := swapOutput{seen: o.ReadValues[o.Key], unknown: o.Outcome != OutcomeAnswered}
 		end := o.End.UnixNano()
 		if out.unknown {
 			end = farFuture
--- a/internal/roseload/report.go
+++ b/internal/roseload/report.go
@@ -60,8 +60,8 @@
 	P99Ms    float64
 }
 
-// Violations returns the number of broken promises.
-func (rep *Report) Violations() int {
+// ViolationCount returns the number of broken promises.
+func (rep *Report) ViolationCount() int {
 	return rep.AcknowledgedLost + rep.ReadYourWritesViolations + rep.StaleBeyondAge + rep.DoubleRuns +
 		rep.MixedTransactions + rep.WrongAnswers + rep.FalseNotRun + rep.NotLinearizable +
 		rep.BundlesMissing + rep.Reversions + rep.WorkAfterLeaving
@@ -73,7 +73,7 @@
 		Deployment: r.config.Deployment.Name,
 		Faults:     r.config.Faults,
 		Seed:       r.config.Seed,
-		Seconds:    r.config.For.Seconds(),
+		Seconds:    r.config.Duration.Seconds(),
 		Unsent:     r.unsent.Load(),
 		findings:   *r.check(operations),
 	}
@@ -84,9 +84,9 @@
 			continue
 		}
 		if o.Kind == KindRead {
-			reads = append(reads, o.End.Sub(o.Sent))
+			reads = append(reads, o.End.Sub(o.Due))
 		} else if o.Attempt <= 1 {
-			writes = append(writes, o.End.Sub(o.Sent))
+			writes = append(writes, o.End.Sub(o.Due))
 		}
 	}
 	rep.ReadP50Ms, rep.ReadP99Ms = percentile(reads, 0.5), percentile(reads, 0.99)
@@ -181,7 +181,7 @@
 			rep.Sent++
 			if o.Outcome == OutcomeAnswered {
 				rep.Answered++
-				times = append(times, o.End.Sub(o.Sent))
+				times = append(times, o.End.Sub(o.Due))
 			}
 		}
 		rep.P50Ms, rep.P99Ms = percentile(times, 0.5), percentile(times, 0.99)
@@ -194,7 +194,7 @@
 // only those sent while it lasted do.
 func (r *run) underFlood(o Operation) bool {
 	struck := r.fault.struckAt
-	return struck.IsZero() || o.Sent.After(struck) && o.Sent.Before(struck.Add(r.config.For/3))
+	return struck.IsZero() || o.Due.After(struck) && o.Due.Before(struck.Add(r.config.Duration/3))
 }
 
 // fairness compares what tenants got with the max-min fair division, by
--- a/internal/roseload/run.go
+++ b/internal/roseload/run.go
@@ -21,8 +21,8 @@
 type Config struct {
 	Deployment rosestack.Deployment
 	// For is how long requests arrive.
-	For  time.Duration
-	Seed uint64
+	Duration time.Duration
+	Seed     uint64
 	// Rate is the number of requests that arrive in a second.
 	Rate float64
 	// Faults are the names of the faults to bring about, together.
@@ -109,7 +109,7 @@
 	var requests sync.WaitGroup
 	started := time.Now()
 	nextLine := started.Add(time.Second)
-	for due := started; due.Sub(started) < r.config.For; {
+	for due := started; due.Sub(started) < r.config.Duration; {
 		due = due.Add(time.Duration(random.ExpFloat64() / r.config.Rate * r.fault.pace() * float64(time.Second)))
 		time.Sleep(time.Until(due))
 		kind, tenant := r.choose(random)
@@ -142,7 +142,7 @@
 	case share < m.read+m.list+m.write:
 		return KindWrite, m.writeTenant
 	case share < m.read+m.list+m.write+m.once:
-		return KindOnce, m.writeTenant
+		return KindInsert, m.writeTenant
 	}
 	return KindSwap, m.writeTenant
 }
@@ -203,7 +203,7 @@
 // addresses lists the proxies that the balancer sends callers to.
 func (r *run) addresses() []string {
 	var list []string
-	for _, p := range r.stack.Running() {
+	for _, p := range r.stack.RunningProxies() {
 		list = append(list, p.Address)
 	}
 	return list
--- a/internal/roseload/run_test.go
+++ b/internal/roseload/run_test.go
@@ -24,7 +24,7 @@
 		c.Assert(err, qt.IsNil)
 		report, err = roseload.Run(context.Background(), roseload.Config{
 			Deployment: d,
-			For:        9 * time.Second,
+			Duration:   9 * time.Second,
 			Seed:       seed,
 			Rate:       rate,
 			Faults:     roseload.SplitFaults(faults),
@@ -83,7 +83,7 @@
 			t.Parallel()
 			c := qt.New(t)
 			report := runFaults(t, deployment, faults, uint64(100+i), 150, rosedaemon.Baseline{})
-			c.Check(report.Violations(), qt.Equals, 0, qt.Commentf("%s", strings.Join(report.Examples, "\n")))
+			c.Check(report.ViolationCount(), qt.Equals, 0, qt.Commentf("%s", strings.Join(report.Examples, "\n")))
 			c.Check(report.Acknowledged > 100, qt.IsTrue, qt.Commentf("%d acknowledged", report.Acknowledged))
 		})
 	}
--- a/internal/roseload/session.go
+++ b/internal/roseload/session.go
@@ -87,7 +87,7 @@
 func (s *session) perform(ctx context.Context, kind Kind, sent time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	o := Operation{Tenant: s.tenant, Database: s.database, Kind: kind, Sent: sent}
+	o := Operation{Tenant: s.tenant, Database: s.database, Kind: kind, Due: sent}
 	if err := s.connected(ctx); err != nil {
 		o.Class = s.run.mix.classOf(kind)
 		o.Start, o.End = time.Now(), time.Now()
@@ -99,7 +99,7 @@
 	switch kind {
 	case KindWrite:
 		s.write(ctx, o)
-	case KindOnce:
+	case KindInsert:
 		s.once(ctx, o)
 	case KindSwap:
 		s.swap(ctx, o)
@@ -112,7 +112,7 @@
 	switch kind {
 	case KindWrite:
 		return m.writeClass
-	case KindOnce:
+	case KindInsert:
 		return m.onceClass
 	case KindSwap:
 		return "default"
@@ -166,18 +166,18 @@
 
 func (s *session) finishRead(o *Operation, rows [][]string, key string, size int) {
 	o.Key = key
-	o.Seen = make(map[string]int64)
+	o.ReadValues = make(map[string]int64)
 	for _, r := range rows {
 		value, err := strconv.ParseInt(r[len(r)-1], 10, 64)
 		if err != nil || len(r) != 2 {
-			o.Wrong = true
+			o.WrongAnswer = true
 			continue
 		}
-		o.Seen[r[0]] = value
+		o.ReadValues[r[0]] = value
 	}
 	if o.Outcome == OutcomeAnswered {
-		_, own := o.Seen[key]
-		o.Wrong = o.Wrong || len(rows) != size || key != "" && !own
+		_, own := o.ReadValues[key]
+		o.WrongAnswer = o.WrongAnswer || len(rows) != size || key != "" && !own
 	}
 	s.run.history.add(*o)
 }
@@ -217,7 +217,7 @@
 	m := s.run.mix
 	i := s.random.IntN(registers / 2)
 	o.Class, o.Key, o.Value = "default", m.key(i), s.run.nextValue()
-	o.Seen = make(map[string]int64)
+	o.ReadValues = make(map[string]int64)
 	started := time.Now()
 	steps := []string{
 		"BEGIN",
@@ -254,16 +254,16 @@
 		return
 	}
 	if len(rows) != 1 || len(rows[0]) != 2 || rows[0][0] != key {
-		o.Wrong = true
+		o.WrongAnswer = true
 		return
 	}
 	value, err := strconv.ParseInt(rows[0][1], 10, 64)
 	switch {
 	case err != nil:
-		o.Wrong = true
+		o.WrongAnswer = true
 	case step == swapStepLock:
-		o.Seen[key] = value
+		o.ReadValues[key] = value
 	case value != o.Value:
-		o.Wrong = true
+		o.WrongAnswer = true
 	}
 }
--- a/internal/roseload/summary.go
+++ b/internal/roseload/summary.go
@@ -37,7 +37,7 @@
 		s.Acknowledged += r.Acknowledged
 		s.NotRun += r.NotRun
 		s.Unknown += r.Unknown
-		s.Violations += r.Violations()
+		s.Violations += r.ViolationCount()
 		s.Examples = append(s.Examples, r.Examples...)
 		s.ReplicaReadShare += r.ReplicaReadShare / n
 		s.ReadP50Ms += r.ReadP50Ms / n
--- a/internal/rosestack/bench_test.go
+++ b/internal/rosestack/bench_test.go
@@ -25,9 +25,9 @@
 	c.Assert(err, qt.IsNil)
 	d.Databases = d.Databases[:1]
 	d.Proxies = 1
-	d.Slots, d.Connections = 64, 200
+	d.Slots, d.MaxConnections = 64, 200
 	d.ZoneDelay, d.CallerDelay, d.ConnectTime = 0, 0, 0
-	d.ReadTime, d.WriteTime, d.ListTime = 0, 0, 0
+	d.ReadTime, d.WriteTime, d.ScanTime = 0, 0, 0
 	return d
 }
 
--- a/internal/rosestack/bundles.go
+++ b/internal/rosestack/bundles.go
@@ -43,10 +43,10 @@
 // proposeFirst makes the first bundle.
 func (s *Stack) proposeFirst(ctx context.Context) error {
 	list := s.operators()
-	s.Content.Operators, s.Content.Signatures = list.Operators, list.Signatures
+	s.BundleContent.Operators, s.BundleContent.Signatures = list.Operators, list.Signatures
 	store := s.operatorStore()
 	defer store.Close()
-	return rosebundle.Propose(ctx, store, sign(rosebundle.Build(s.Content, rosebundle.Manifest{})))
+	return rosebundle.Propose(ctx, store, sign(rosebundle.Build(s.BundleContent, rosebundle.Manifest{})))
 }
 
 // sign signs a manifest by every operator.
@@ -57,9 +57,9 @@
 	return rosebundle.Proposal{Manifest: m, Parts: parts}
 }
 
-// Propose makes a changed bundle the one in force and returns its version.
+// ProposeBundle makes a changed bundle the one in force and returns its version.
 // Errors are those of rosebundle.Propose.
-func (s *Stack) Propose(ctx context.Context, change func(*rosebundle.Content)) (uint64, error) {
+func (s *Stack) ProposeBundle(ctx context.Context, change func(*rosebundle.Content)) (uint64, error) {
 	store := s.operatorStore()
 	defer store.Close()
 	text, err := rosebundle.ReadCurrent(ctx, store)
@@ -79,5 +79,5 @@
 	return p.Manifest.Version, rosebundle.Propose(ctx, store, p)
 }
 
-// Version returns the version in force at a proxy.
-func (p *Proxy) Version() uint64 { return p.Daemon.BundleVersion() }
+// BundleVersion returns the version in force at a proxy.
+func (p *Proxy) BundleVersion() uint64 { return p.Daemon.BundleVersion() }
--- a/internal/rosestack/caller.go
+++ b/internal/rosestack/caller.go
@@ -73,8 +73,8 @@
 	return rows, nil
 }
 
-// Number returns the first field of the first row as a number, or -1.
-func Number(rows [][]string) int {
+// FirstInteger returns the first field of the first row as a number, or -1.
+func FirstInteger(rows [][]string) int {
 	if len(rows) == 0 || len(rows[0]) == 0 {
 		return -1
 	}
--- a/internal/rosestack/deployment.go
+++ b/internal/rosestack/deployment.go
@@ -15,19 +15,19 @@
 
 // Deployment holds the sizes of one customer's deployment.
 type Deployment struct {
-	Name        string
-	Databases   []string
-	Zones       []string
-	Proxies     int
-	Slots       int
-	Connections int
+	Name           string
+	Databases      []string
+	Zones          []string
+	Proxies        int
+	Slots          int
+	MaxConnections int
 	// ZoneDelay and CallerDelay are one-way.
 	ZoneDelay   time.Duration
 	CallerDelay time.Duration
 	ConnectTime time.Duration
 	ReadTime    time.Duration
 	WriteTime   time.Duration
-	ListTime    time.Duration
+	ScanTime    time.Duration
 	// Schema makes the tables of each database.
 	Schema []string
 	// Seed fills them.
@@ -53,18 +53,18 @@
 
 func costaRica() Deployment {
 	return Deployment{
-		Name:        "costa-rica",
-		Databases:   []string{"licencias1", "licencias2", "licencias3"},
-		Zones:       []string{"cr-a", "cr-b", "cr-c"},
-		Proxies:     6,
-		Slots:       3,
-		Connections: 20,
-		ZoneDelay:   1500 * time.Microsecond,
-		CallerDelay: 3 * time.Millisecond,
-		ConnectTime: 10 * time.Millisecond,
-		ReadTime:    200 * time.Microsecond,
-		WriteTime:   400 * time.Microsecond,
-		ListTime:    10 * time.Millisecond,
+		Name:           "costa-rica",
+		Databases:      []string{"licencias1", "licencias2", "licencias3"},
+		Zones:          []string{"cr-a", "cr-b", "cr-c"},
+		Proxies:        6,
+		Slots:          3,
+		MaxConnections: 20,
+		ZoneDelay:      1500 * time.Microsecond,
+		CallerDelay:    3 * time.Millisecond,
+		ConnectTime:    10 * time.Millisecond,
+		ReadTime:       200 * time.Microsecond,
+		WriteTime:      400 * time.Microsecond,
+		ScanTime:       10 * time.Millisecond,
 		Schema: []string{
 			"CREATE TABLE licences (id bigint PRIMARY KEY, driver text, status text, expires bigint, version bigint)",
 			"CREATE TABLE audit (id text PRIMARY KEY, licence bigint, action text)",
@@ -88,18 +88,18 @@
 
 func guatemala() Deployment {
 	return Deployment{
-		Name:        "guatemala",
-		Databases:   []string{"carreras1", "carreras2", "carreras3"},
-		Zones:       []string{"gt-a", "gt-b", "gt-c"},
-		Proxies:     6,
-		Slots:       5,
-		Connections: 50,
-		ZoneDelay:   500 * time.Microsecond,
-		CallerDelay: time.Millisecond,
-		ConnectTime: 10 * time.Millisecond,
-		ReadTime:    200 * time.Microsecond,
-		WriteTime:   400 * time.Microsecond,
-		ListTime:    10 * time.Millisecond,
+		Name:           "guatemala",
+		Databases:      []string{"carreras1", "carreras2", "carreras3"},
+		Zones:          []string{"gt-a", "gt-b", "gt-c"},
+		Proxies:        6,
+		Slots:          5,
+		MaxConnections: 50,
+		ZoneDelay:      500 * time.Microsecond,
+		CallerDelay:    time.Millisecond,
+		ConnectTime:    10 * time.Millisecond,
+		ReadTime:       200 * time.Microsecond,
+		WriteTime:      400 * time.Microsecond,
+		ScanTime:       10 * time.Millisecond,
 		Schema: []string{
 			"CREATE TABLE races (id bigint PRIMARY KEY, name text, places bigint)",
 			"CREATE TABLE entries (id text PRIMARY KEY, race bigint, runner text, status text, version bigint)",
@@ -127,12 +127,12 @@
 
 func span(d time.Duration) rosebundle.Duration { return rosebundle.Duration(d) }
 
-// SeedRows is the number of rows that the seeded tables begin with.
-const SeedRows = 100
+// SeedRowCount is the number of rows that the seeded tables begin with.
+const SeedRowCount = 100
 
 func seedRows(table, columns string, values func(int) string) []string {
 	statement := "INSERT INTO " + table + " (" + columns + ") VALUES "
-	for i := range SeedRows {
+	for i := range SeedRowCount {
 		if i > 0 {
 			statement += ", "
 		}
--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -36,11 +36,11 @@
 
 // Stack is a running deployment.
 type Stack struct {
-	Config   Config
-	Network  *rosenet.Network
-	Clusters map[string]*rosetarget.Cluster
-	Proxies  []*Proxy
-	Content  *rosebundle.Content
+	Config        Config
+	Network       *rosenet.Network
+	Clusters      map[string]*rosetarget.Cluster
+	Proxies       []*Proxy
+	BundleContent *rosebundle.Content
 	// Platform is the stand-in key-value service and VM list.
 	Platform     *rosekv.Server
 	platformAt   string
@@ -87,7 +87,7 @@
 	if err := s.startTargets(); err != nil {
 		return nil, err
 	}
-	s.Content = s.content()
+	s.BundleContent = s.content()
 	if err := s.proposeFirst(ctx); err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 // listMembers gives the platform the list of VMs that run.
 func (s *Stack) listMembers() {
 	var members []rosemary.Member
-	for _, p := range s.Running() {
+	for _, p := range s.RunningProxies() {
 		members = append(members, rosemary.Member{
 			Proxy:   rosemary.ProxyID(p.Name),
 			Zone:    rosemary.Zone(p.Zone),
@@ -167,11 +167,11 @@
 				ID:             rosemary.TargetID(fmt.Sprintf("%s-%d", name, j+1)),
 				Zone:           rosemary.Zone(d.Zones[(i+j)%len(d.Zones)]),
 				Slots:          d.Slots,
-				MaxConnections: d.Connections,
+				MaxConnections: d.MaxConnections,
 				ConnectTime:    d.ConnectTime,
 				ReadTime:       d.ReadTime,
 				WriteTime:      d.WriteTime,
-				ScanTime:       d.ListTime,
+				ScanTime:       d.ScanTime,
 			})
 		}
 		cluster := rosetarget.NewCluster(s.Network, configs)
@@ -190,7 +190,7 @@
 	d := s.Config.Deployment
 	content := &rosebundle.Content{Classes: d.Classes, Tenants: d.Tenants}
 	for i, name := range d.Databases {
-		database := rosebundle.Database{Name: name, Slots: d.Slots, Connections: d.Connections}
+		database := rosebundle.Database{Name: name, Slots: d.Slots, Connections: d.MaxConnections}
 		for j := range d.Zones {
 			id := fmt.Sprintf("%s-%d", name, j+1)
 			database.Targets = append(database.Targets, rosebundle.Target{
@@ -288,8 +288,8 @@
 	return ""
 }
 
-// Running lists the proxies that accept callers.
-func (s *Stack) Running() []*Proxy {
+// RunningProxies lists the proxies that accept callers.
+func (s *Stack) RunningProxies() []*Proxy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var running []*Proxy
