--- a/cmd/rosemary/main.go
+++ b/cmd/rosemary/main.go
@@ -14,6 +14,6 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	environment := rosecommand.Environment{Out: os.Stdout, Err: os.Stderr}
+	environment := rosecommand.IOStreams{Out: os.Stdout, Err: os.Stderr}
 	os.Exit(rosecommand.Run(ctx, environment, os.Args[1:]))
 }
--- a/cmd/rosemaryd/main.go
+++ b/cmd/rosemaryd/main.go
@@ -13,6 +13,6 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	environment := rosecommand.Environment{Out: os.Stdout, Err: os.Stderr}
+	environment := rosecommand.IOStreams{Out: os.Stdout, Err: os.Stderr}
 	os.Exit(rosecommand.RunDaemon(ctx, environment, os.Args[1:]))
 }
--- a/internal/rosecommand/admin.go
+++ b/internal/rosecommand/admin.go
@@ -83,7 +83,7 @@
 	return body, nil
 }
 
-func printJSON(environment Environment, value any) error {
+func printJSON(environment IOStreams, value any) error {
 	encoder := json.NewEncoder(environment.Out)
 	encoder.SetIndent("", "  ")
 	return trace.Wrap(encoder.Encode(value))
--- a/internal/rosecommand/bundle.go
+++ b/internal/rosecommand/bundle.go
@@ -21,7 +21,7 @@
 }
 
 // bundleCommands are the subcommands of bundle.
-var bundleCommands = map[string]func(context.Context, Environment, []string) error{
+var bundleCommands = map[string]func(context.Context, IOStreams, []string) error{
 	"key":     runBundleKey,
 	"new":     runBundleNew,
 	"check":   runBundleCheck,
@@ -32,7 +32,7 @@
 	"status":  runBundleStatus,
 }
 
-func runBundle(ctx context.Context, environment Environment, args []string) error {
+func runBundle(ctx context.Context, environment IOStreams, args []string) error {
 	if len(args) > 0 {
 		if run := bundleCommands[args[0]]; run != nil {
 			return run(ctx, environment, args[1:])
@@ -77,7 +77,7 @@
 	return content, err
 }
 
-func runBundleCheck(_ context.Context, environment Environment, args []string) error {
+func runBundleCheck(_ context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle check", flag.ContinueOnError)
 	if err := parse(flags, environment, args); err != nil {
 		return err
@@ -120,7 +120,7 @@
 	return p, path, err
 }
 
-func runBundlePropose(ctx context.Context, environment Environment, args []string) error {
+func runBundlePropose(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle propose", flag.ContinueOnError)
 	open := storeFlags(flags)
 	if err := parse(flags, environment, args); err != nil {
@@ -154,7 +154,7 @@
 	return m, content, err
 }
 
-func runBundleShow(ctx context.Context, environment Environment, args []string) error {
+func runBundleShow(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle show", flag.ContinueOnError)
 	open := storeFlags(flags)
 	if err := parse(flags, environment, args); err != nil {
--- a/internal/rosecommand/bundle_diff.go
+++ b/internal/rosecommand/bundle_diff.go
@@ -9,7 +9,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-func runBundleDiff(ctx context.Context, environment Environment, args []string) error {
+func runBundleDiff(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle diff", flag.ContinueOnError)
 	open := storeFlags(flags)
 	if err := parse(flags, environment, args); err != nil {
--- a/internal/rosecommand/bundle_key.go
+++ b/internal/rosecommand/bundle_key.go
@@ -12,7 +12,7 @@
 	"github.com/gravitational/trace"
 )
 
-func runBundleKey(_ context.Context, environment Environment, args []string) error {
+func runBundleKey(_ context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle key", flag.ContinueOnError)
 	out := flags.String("out", "", "file for the private key")
 	if err := parse(flags, environment, args); err != nil {
--- a/internal/rosecommand/bundle_new.go
+++ b/internal/rosecommand/bundle_new.go
@@ -10,7 +10,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-func runBundleNew(ctx context.Context, environment Environment, args []string) error {
+func runBundleNew(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle new", flag.ContinueOnError)
 	open := storeFlags(flags)
 	out := flags.String("out", "proposal.json", "file for the proposal")
--- a/internal/rosecommand/bundle_sign.go
+++ b/internal/rosecommand/bundle_sign.go
@@ -12,7 +12,7 @@
 	"github.com/gravitational/trace"
 )
 
-func runBundleSign(_ context.Context, environment Environment, args []string) error {
+func runBundleSign(_ context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle sign", flag.ContinueOnError)
 	operator := flags.String("operator", "", "name of the operator, as in the bundle in force")
 	keyFile := flags.String("key", "", "file with the operator's private key")
--- a/internal/rosecommand/bundle_status.go
+++ b/internal/rosecommand/bundle_status.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 )
 
-func runBundleStatus(ctx context.Context, environment Environment, args []string) error {
+func runBundleStatus(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle status", flag.ContinueOnError)
 	admin := adminFlag(flags)
 	asJSON := flags.Bool("json", false, "print JSON")
--- a/internal/rosecommand/command.go
+++ b/internal/rosecommand/command.go
@@ -27,11 +27,11 @@
 	name  string
 	short string
 	// run parses its flags from args and does the work.
-	run func(ctx context.Context, environment Environment, args []string) error
+	run func(ctx context.Context, environment IOStreams, args []string) error
 }
 
-// Environment is what a command reads from and writes to.
-type Environment struct {
+// IOStreams is what a command reads from and writes to.
+type IOStreams struct {
 	Out io.Writer
 	Err io.Writer
 }
@@ -46,7 +46,7 @@
 func (u usageError) Unwrap() error { return u.error }
 
 // Run runs the subcommand that args name and returns the exit code.
-func Run(ctx context.Context, environment Environment, args []string) int {
+func Run(ctx context.Context, environment IOStreams, args []string) int {
 	if len(args) == 0 || args[0] == "help" || args[0] == "-h" || args[0] == "--help" {
 		usage(environment.Err)
 		return exitUsage
@@ -60,7 +60,7 @@
 	return exitCode(environment, commands[at].run(ctx, environment, args[1:]))
 }
 
-func exitCode(environment Environment, err error) int {
+func exitCode(environment IOStreams, err error) int {
 	var wrong usageError
 	switch {
 	case err == nil || errors.Is(err, flag.ErrHelp):
@@ -83,7 +83,7 @@
 
 // parse reads flags, and their values from the environment's variables with
 // the prefix ROSEMARY.
-func parse(flags *flag.FlagSet, environment Environment, args []string) error {
+func parse(flags *flag.FlagSet, environment IOStreams, args []string) error {
 	flags.SetOutput(environment.Err)
 	if err := ff.Parse(flags, args, ff.WithEnvVarPrefix("ROSEMARY")); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
--- a/internal/rosecommand/daemon.go
+++ b/internal/rosecommand/daemon.go
@@ -39,11 +39,11 @@
 }
 
 // RunDaemon runs a proxy until ctx ends, and returns the exit code.
-func RunDaemon(ctx context.Context, environment Environment, args []string) int {
+func RunDaemon(ctx context.Context, environment IOStreams, args []string) int {
 	return exitCode(environment, runDaemon(ctx, environment, args))
 }
 
-func runDaemon(ctx context.Context, environment Environment, args []string) error {
+func runDaemon(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("rosemaryd", flag.ContinueOnError)
 	path := flags.String("settings", "/etc/rosemarywell/rosemaryd.toml", "settings file")
 	check := flags.Bool("check", false, "check the settings and exit")
--- a/internal/rosecommand/demo.go
+++ b/internal/rosecommand/demo.go
@@ -20,7 +20,7 @@
 // demoStopTime bounds the graceful end of the demo.
 const demoStopTime = 10 * time.Second
 
-func runDemo(ctx context.Context, environment Environment, args []string) error {
+func runDemo(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("demo", flag.ContinueOnError)
 	listen := flags.String("listen", "127.0.0.1:6432", "address of the first proxy; the others take the ports after it")
 	name := flags.String("deployment", "costa-rica", "costa-rica or guatemala")
@@ -62,7 +62,7 @@
 	return stopDemo(stack)
 }
 
-func printDemo(environment Environment, stack *rosestack.Stack) {
+func printDemo(environment IOStreams, stack *rosestack.Stack) {
 	for _, p := range stack.Proxies {
 		fmt.Fprintf(environment.Out, "proxy=%s zone=%s address=%s admin=%s\n", p.Name, p.Zone, p.Address, p.AdminAddress)
 	}
--- a/internal/rosecommand/drain.go
+++ b/internal/rosecommand/drain.go
@@ -11,7 +11,7 @@
 	register(command{"drain", "shut one proxy down gracefully", runDrain})
 }
 
-func runDrain(ctx context.Context, environment Environment, args []string) error {
+func runDrain(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("drain", flag.ContinueOnError)
 	admin := adminFlag(flags)
 	if err := parse(flags, environment, args); err != nil {
--- a/internal/rosecommand/explain.go
+++ b/internal/rosecommand/explain.go
@@ -20,7 +20,7 @@
 // replacement of a primary takes about as long.
 const beliefTime = 3 * time.Second
 
-func runExplain(_ context.Context, environment Environment, args []string) error {
+func runExplain(_ context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("explain", flag.ContinueOnError)
 	before := flags.Duration("before", beliefTime, "show what proxies came to believe in this time before the request")
 	if err := parse(flags, environment, args); err != nil {
@@ -37,7 +37,7 @@
 		}
 		logs = append(logs, log)
 	}
-	story, err := roseexplain.Tell(logs, flags.Arg(0), *before)
+	story, err := roseexplain.BuildTimeline(logs, flags.Arg(0), *before)
 	if err != nil {
 		return err
 	}
--- a/internal/rosecommand/load.go
+++ b/internal/rosecommand/load.go
@@ -17,7 +17,7 @@
 	register(command{"load", "run a deployment under load and faults, and check its history", runLoad})
 }
 
-func runLoad(ctx context.Context, environment Environment, args []string) error {
+func runLoad(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("load", flag.ContinueOnError)
 	name := flags.String("deployment", "costa-rica", "costa-rica or guatemala")
 	span := flags.Duration("for", 20*time.Second, "time during which requests arrive")
@@ -71,7 +71,7 @@
 }
 
 // runSeeds runs one seed after the other and prints a summary.
-func runSeeds(ctx context.Context, environment Environment, config roseload.Config, runs int) error {
+func runSeeds(ctx context.Context, environment IOStreams, config roseload.Config, runs int) error {
 	var reports []*roseload.Report
 	for range runs {
 		report, err := roseload.Run(ctx, config)
--- a/internal/rosecommand/primary.go
+++ b/internal/rosecommand/primary.go
@@ -14,7 +14,7 @@
 	register(command{"primary", "move a database's primary to another target", runPrimary})
 }
 
-func runPrimary(ctx context.Context, environment Environment, args []string) error {
+func runPrimary(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("primary move", flag.ContinueOnError)
 	admin := adminFlag(flags)
 	database := flags.String("database", "", "database whose primary moves")
--- a/internal/rosecommand/secret.go
+++ b/internal/rosecommand/secret.go
@@ -14,7 +14,7 @@
 // secretBytes is the length of a token key.
 const secretBytes = 32
 
-func runSecret(_ context.Context, environment Environment, _ []string) error {
+func runSecret(_ context.Context, environment IOStreams, _ []string) error {
 	secret := make([]byte, secretBytes)
 	_, _ = rand.Read(secret)
 	fmt.Fprintln(environment.Out, base64.StdEncoding.EncodeToString(secret))
--- a/internal/rosecommand/soak.go
+++ b/internal/rosecommand/soak.go
@@ -17,7 +17,7 @@
 	register(command{"soak", "real proxies as processes under faults, with their promises checked", runSoak})
 }
 
-func runSoak(ctx context.Context, environment Environment, args []string) error {
+func runSoak(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("soak", flag.ContinueOnError)
 	seed := flags.Uint64("seed", 1, "the first seed")
 	runs := flags.Int("runs", 1, "the number of seeds")
@@ -38,7 +38,7 @@
 	}
 	broken := 0
 	for n := range *runs {
-		config := rosesoak.Config{Program: *program, Seed: *seed + uint64(n), For: *span, ProxiesPerZone: *proxies, Callers: *callers}
+		config := rosesoak.Config{Program: *program, Seed: *seed + uint64(n), Duration: *span, ProxiesPerZone: *proxies, Callers: *callers}
 		if *verbose {
 			config.Out = environment.Out
 		}
@@ -55,7 +55,7 @@
 }
 
 // soakOnce plays one seed. Settings and logs stay if a promise was broken.
-func soakOnce(ctx context.Context, environment Environment, config rosesoak.Config) (int, error) {
+func soakOnce(ctx context.Context, environment IOStreams, config rosesoak.Config) (int, error) {
 	directory, err := rosesoak.NewDirectory(config.Seed)
 	if err != nil {
 		return 0, err
--- a/internal/rosecommand/status.go
+++ b/internal/rosecommand/status.go
@@ -16,7 +16,7 @@
 	register(command{"status", "what every proxy says of itself, its groups and its peers", runStatus})
 }
 
-func runStatus(ctx context.Context, environment Environment, args []string) error {
+func runStatus(ctx context.Context, environment IOStreams, args []string) error {
 	flags := flag.NewFlagSet("status", flag.ContinueOnError)
 	admin := adminFlag(flags)
 	asJSON := flags.Bool("json", false, "print JSON")
--- a/internal/rosecommand/verifier.go
+++ b/internal/rosecommand/verifier.go
@@ -16,7 +16,7 @@
 	register(command{"verifier", "read a tenant's password and print its verifier", runVerifier})
 }
 
-func runVerifier(_ context.Context, environment Environment, _ []string) error {
+func runVerifier(_ context.Context, environment IOStreams, _ []string) error {
 	line, err := bufio.NewReader(os.Stdin).ReadString('\n')
 	password := strings.TrimRight(line, "\r\n")
 	if password == "" {
--- a/internal/roseexplain/line.go
+++ b/internal/roseexplain/line.go
@@ -15,7 +15,7 @@
 // Line is one log line.
 type Line struct {
 	// At is the time of day by the clock of the process that wrote it.
-	At time.Time
+	Time time.Time
 	// Event is what happened, Fields what it was decided by.
 	Event  string
 	Fields map[string]string
@@ -76,7 +76,7 @@
 	if err != nil {
 		return Line{}, false
 	}
-	line := Line{At: at, Text: text[end+2:], Fields: make(map[string]string)}
+	line := Line{Time: at, Text: text[end+2:], Fields: make(map[string]string)}
 	event, rest, ok := quoted(line.Text)
 	if !ok {
 		return Line{}, false
--- a/internal/roseexplain/story.go
+++ b/internal/roseexplain/story.go
@@ -17,54 +17,54 @@
 	Process string
 	Line
 	// When is the time by the clock of the process that answered the caller.
-	When time.Time
+	AdjustedTime time.Time
 	// About is set for a line on the request itself; the others are what was
 	// believed at the time.
-	About bool
+	NamesRequest bool
 }
 
-// Story is what several logs tell of one request.
-type Story struct {
+// Timeline is what several logs tell of one request.
+type Timeline struct {
 	Request string
 	Events  []Event
 	// Shifts is how much was added to each process's clock.
-	Shifts map[string]time.Duration
+	ClockOffsets map[string]time.Duration
 }
 
 // defaultSpan is how long a request is taken to have lasted whose answer
 // doesn't tell.
 const defaultSpan = 2 * time.Second
 
-// Tell gathers what the logs tell of a request, and the changes of belief about
+// BuildTimeline gathers what the logs tell of a request, and the changes of belief about
 // its group, its targets and its proxies in the time before. The error is
 // trace.NotFound if no log names it.
-func Tell(logs []Log, request string, before time.Duration) (Story, error) {
+func BuildTimeline(logs []Log, request string, before time.Duration) (Timeline, error) {
 	answer, teller, found := findAnswer(logs, request)
 	if !found {
-		return Story{}, trace.NotFound("no log names request %q; give the logs of the proxy that its caller was connected to", request)
+		return Timeline{}, trace.NotFound("no log names request %q; give the logs of the proxy that its caller was connected to", request)
 	}
-	began := answer.At.Add(-span(answer))
-	story := Story{Request: request, Shifts: make(map[string]time.Duration)}
+	began := answer.Time.Add(-span(answer))
+	story := Timeline{Request: request, ClockOffsets: make(map[string]time.Duration)}
 	subjects := subjectsOf(logs, request)
 	for _, log := range logs {
 		shift := time.Duration(0)
 		if log.Process != teller {
-			shift = shiftInto(log, request, began, answer.At)
+			shift = shiftInto(log, request, began, answer.Time)
 		}
 		if shift != 0 {
-			story.Shifts[log.Process] = shift
+			story.ClockOffsets[log.Process] = shift
 		}
 		for _, line := range log.Lines {
-			when := line.At.Add(shift)
+			when := line.Time.Add(shift)
 			about := line.Fields["request"] == request
-			inTime := !when.Before(began.Add(-before)) && !when.After(answer.At)
+			inTime := !when.Before(began.Add(-before)) && !when.After(answer.Time)
 			if about || inTime && line.concerns(subjects) {
-				story.Events = append(story.Events, Event{Process: log.Process, Line: line, When: when, About: about})
+				story.Events = append(story.Events, Event{Process: log.Process, Line: line, AdjustedTime: when, NamesRequest: about})
 			}
 		}
 	}
 	slices.SortStableFunc(story.Events, func(a, b Event) int {
-		return cmp.Or(a.When.Compare(b.When), order(a)-order(b))
+		return cmp.Or(a.AdjustedTime.Compare(b.AdjustedTime), order(a)-order(b))
 	})
 	return story, nil
 }
@@ -74,7 +74,7 @@
 	switch {
 	case e.answers():
 		return 2
-	case e.About:
+	case e.NamesRequest:
 		return 1
 	}
 	return 0
@@ -117,10 +117,10 @@
 			continue
 		}
 		switch {
-		case line.At.Before(began):
-			return began.Sub(line.At)
-		case line.At.After(ended):
-			return ended.Sub(line.At)
+		case line.Time.Before(began):
+			return began.Sub(line.Time)
+		case line.Time.After(ended):
+			return ended.Sub(line.Time)
 		}
 	}
 	return 0
@@ -173,18 +173,18 @@
 }
 
 // WriteText writes the story for a reader: lines on the request are marked.
-func (s Story) WriteText(w io.Writer) error {
+func (s Timeline) WriteText(w io.Writer) error {
 	for _, e := range s.Events {
 		mark := " "
-		if e.About {
+		if e.NamesRequest {
 			mark = ">"
 		}
-		if _, err := fmt.Fprintf(w, "%s %s %s %s\n", mark, e.When.Format("15:04:05.000"), e.Process, e.Text); err != nil {
+		if _, err := fmt.Fprintf(w, "%s %s %s %s\n", mark, e.AdjustedTime.Format("15:04:05.000"), e.Process, e.Text); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	for _, process := range slices.Sorted(maps.Keys(s.Shifts)) {
-		if _, err := fmt.Fprintf(w, "clock of %s shifted by %v\n", process, s.Shifts[process]); err != nil {
+	for _, process := range slices.Sorted(maps.Keys(s.ClockOffsets)) {
+		if _, err := fmt.Fprintf(w, "clock of %s shifted by %v\n", process, s.ClockOffsets[process]); err != nil {
 			return trace.Wrap(err)
 		}
 	}
--- a/internal/roseexplain/story_test.go
+++ b/internal/roseexplain/story_test.go
@@ -33,7 +33,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		logs = append(logs, log)
 	}
-	story, err := roseexplain.Tell(logs, request, time.Second)
+	story, err := roseexplain.BuildTimeline(logs, request, time.Second)
 	var out strings.Builder
 	qt.Assert(t, story.WriteText(&out), qt.IsNil)
 	return out.String(), err
--- a/internal/rosesoak/soak.go
+++ b/internal/rosesoak/soak.go
@@ -49,14 +49,14 @@
 	// Directory takes settings and logs.
 	Directory string
 	Seed      uint64
-	For       time.Duration
+	Duration  time.Duration
 	// ProxiesPerZone and Callers size the installation.
 	ProxiesPerZone int
 	Callers        int
 	// BorderTime is how soon a connection that a proxy closes between two
 	// requests ends: the later request was never read. Zero means
 	// defaultBorderTime.
-	BorderTime time.Duration
+	IdleCloseTolerance time.Duration
 	// Out is told of each fault; nil for nobody.
 	Out io.Writer
 }
@@ -95,8 +95,8 @@
 // Run plays one seed. The error is about the run itself; broken promises are in
 // the report.
 func Run(ctx context.Context, config Config) (Report, error) {
-	if config.BorderTime == 0 {
-		config.BorderTime = defaultBorderTime
+	if config.IdleCloseTolerance == 0 {
+		config.IdleCloseTolerance = defaultBorderTime
 	}
 	if config.Out == nil {
 		config.Out = io.Discard
@@ -112,7 +112,7 @@
 	if !sleep(ctx, formTime) {
 		return s.report, ctx.Err()
 	}
-	playing, cancel := context.WithTimeout(ctx, config.For)
+	playing, cancel := context.WithTimeout(ctx, config.Duration)
 	defer cancel()
 	callers, ended := context.WithCancel(ctx)
 	defer ended()
--- a/internal/rosesoak/soak_test.go
+++ b/internal/rosesoak/soak_test.go
@@ -28,7 +28,7 @@
 func soak(t *testing.T, program string, seed uint64, span time.Duration) rosesoak.Report {
 	t.Helper()
 	report, err := rosesoak.Run(context.Background(), rosesoak.Config{
-		Program: program, Directory: t.TempDir(), Seed: seed, For: span, ProxiesPerZone: 1, Callers: 6, BorderTime: borderTime,
+		Program: program, Directory: t.TempDir(), Seed: seed, Duration: span, ProxiesPerZone: 1, Callers: 6, IdleCloseTolerance: borderTime,
 	})
 	qt.Assert(t, err, qt.IsNil)
 	t.Logf("seed %d: %d faults, %v", seed, report.Faults, report.Outcomes)
--- a/internal/rosesoak/writer.go
+++ b/internal/rosesoak/writer.go
@@ -68,7 +68,7 @@
 	if err == nil {
 		return reply, true
 	}
-	if took := time.Since(askedAt); took > w.soak.config.BorderTime && w.at.owes() {
+	if took := time.Since(askedAt); took > w.soak.config.IdleCloseTolerance && w.at.owes() {
 		w.soak.violate("%s at %s got no whole answer: %v after %v", id, w.at.name, err, took)
 	}
 	w.client.Close()
