--- a/pkg/rosepool/conn.go
+++ b/pkg/rosepool/conn.go
@@ -1,6 +1,6 @@
-// Package rosepool holds connections to targets: it opens them at a bounded
-// pace, checks old idle ones before use, and closes every one whose state is
-// in doubt instead of using it again.
+// Package rosepool pools connections to targets: it limits concurrent dials,
+// probes connections that were idle before using them, and closes connections
+// in an uncertain state instead of reusing them.
 package rosepool
 
 import (
@@ -14,20 +14,22 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// maxMessageBytes bounds one message from a target.
+// maxMessageBytes is the largest message accepted from a target.
 const maxMessageBytes = 64 << 20
 
-// maxPrepared bounds the statements prepared on one connection.
-const maxPrepared = 200
+// maxPreparedStatements is the number of statements that one connection keeps
+// prepared.
+const maxPreparedStatements = 200
 
-// Credentials are those that the proxy uses at targets.
+// Credentials are the startup parameters with which the proxy logs in to
+// targets.
 type Credentials struct {
 	User     string
 	Password string
 	Database string
 }
 
-// Conn is one connection to a target. It serves one exchange at a time.
+// Conn is a connection to a target. It runs one exchange at a time.
 type Conn struct {
 	Target rosemary.TargetID
 
@@ -39,9 +41,9 @@
 	secret     []byte
 	parameters map[string]string
 	prepared   preparedSet
-	// Committed is the position of the last commit on the connection.
+	// LastCommit is the log position of the connection's last commit.
 	LastCommit rosemary.Position
-	// Settings is the fingerprint of the session settings applied.
+	// SettingsFingerprint identifies the session settings that are applied.
 	SettingsFingerprint string
 	generation          uint64
 	lastUsed            time.Time
@@ -50,9 +52,9 @@
 	written             bool
 }
 
-// Open connects to a target and completes the handshake before ctx ends.
-// Errors are trace.ConnectionProblem, or trace.LimitExceeded when the target
-// has no connection left.
+// Open connects to a target and completes the startup handshake before ctx
+// ends. Errors are trace.ConnectionProblem, trace.AccessDenied if the login
+// fails, or trace.LimitExceeded if the target has no connections left.
 func Open(ctx context.Context, dialer rosemary.Dialer, target rosemary.Target, credentials Credentials) (*Conn, error) {
 	conn, err := dialer.Dial(ctx, target.Address)
 	if err != nil {
@@ -65,11 +67,11 @@
 		address:    target.Address,
 		dialer:     dialer,
 		parameters: make(map[string]string),
-		prepared:   newPreparedSet(maxPrepared),
+		prepared:   newPreparedSet(maxPreparedStatements),
 		lastUsed:   time.Now(),
 	}
 	c.frontend.SetMaxBodyLen(maxMessageBytes)
-	release := c.guard(ctx)
+	release := c.watchContext(ctx)
 	err = c.handshake(credentials)
 	release()
 	if err != nil {
@@ -79,8 +81,9 @@
 	return c, nil
 }
 
-// guard ends reads and writes when ctx does. The returned function ends it.
-func (c *Conn) guard(ctx context.Context) func() {
+// watchContext interrupts reads and writes when ctx ends. The returned function
+// stops watching; it marks the connection broken if ctx has ended before.
+func (c *Conn) watchContext(ctx context.Context) func() {
 	stop := context.AfterFunc(ctx, func() {
 		_ = c.conn.SetDeadline(time.Unix(1, 0))
 	})
@@ -103,13 +106,13 @@
 		},
 	})
 	if err := c.frontend.Flush(); err != nil {
-		return trace.ConnectionProblem(err, "send startup")
+		return trace.ConnectionProblem(err, "send startup message")
 	}
-	login := &login{conn: c, credentials: credentials}
+	auth := &authenticator{conn: c, credentials: credentials}
 	for {
 		message, err := c.frontend.Receive()
 		if err != nil {
-			return trace.ConnectionProblem(err, "receive startup answer")
+			return trace.ConnectionProblem(err, "receive startup response")
 		}
 		switch m := message.(type) {
 		case *pgproto3.ParameterStatus:
@@ -123,7 +126,7 @@
 			c.status = m.TxStatus
 			return nil
 		default:
-			if err := login.answer(message); err != nil {
+			if err := auth.handle(message); err != nil {
 				return err
 			}
 		}
@@ -132,21 +135,22 @@
 
 func startupError(m *pgproto3.ErrorResponse) error {
 	if m.Code == "53300" {
-		return trace.LimitExceeded("the target has no connection left: %s", m.Message)
+		return trace.LimitExceeded("the target has no connections left: %s", m.Message)
 	}
 	return trace.ConnectionProblem(nil, "the target refused the connection: %s %s", m.Code, m.Message)
 }
 
-// Parameters returns the settings that the target reported at startup.
+// Parameters returns the run-time parameters that the target reported at
+// startup.
 func (c *Conn) Parameters() map[string]string { return c.parameters }
 
 // TxStatus returns the transaction status of the last ReadyForQuery.
 func (c *Conn) TxStatus() byte { return c.status }
 
-// Broken reports whether the connection's state is in doubt.
+// Broken reports whether the connection is closed or in an uncertain state.
 func (c *Conn) Broken() bool { return c.broken }
 
-// Written reports whether the last exchange put anything on the wire.
+// Written reports whether the last exchange may have sent anything.
 func (c *Conn) Written() bool { return c.written }
 
 // Close ends the connection.
@@ -155,16 +159,18 @@
 	c.conn.Close()
 }
 
-// Step is a part of an exchange that one ReadyForQuery ends.
+// Step is a part of an exchange whose response ends with ReadyForQuery.
 type Step struct {
 	Messages []pgproto3.FrontendMessage
-	// Receive takes each message of the answer, ReadyForQuery included. A
-	// message is valid until Receive returns. Nil drops the answer.
+	// Receive is called with each message of the response, including
+	// ReadyForQuery. A message is valid until Receive returns. If nil, the
+	// response is discarded.
 	Receive func(pgproto3.BackendMessage) error
 }
 
-// Exchange sends all steps at once and takes their answers in order. An error
-// leaves the connection broken; Written tells whether anything was sent.
+// Exchange sends all steps at once and receives their responses in order. On
+// error the connection is closed; Written tells whether anything may have been
+// sent.
 func (c *Conn) Exchange(ctx context.Context, steps ...Step) error {
 	c.written = false
 	if c.broken {
@@ -173,7 +179,7 @@
 	if err := ctx.Err(); err != nil {
 		return trace.Wrap(err)
 	}
-	release := c.guard(ctx)
+	release := c.watchContext(ctx)
 	err := c.exchange(steps)
 	release()
 	c.lastUsed = time.Now()
@@ -195,15 +201,15 @@
 		return trace.ConnectionProblem(err, "send to target %s", c.Target)
 	}
 	for _, s := range steps {
-		if err := c.answer(s.Receive); err != nil {
+		if err := c.receiveUntilReady(s.Receive); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// answer takes messages up to and including ReadyForQuery.
-func (c *Conn) answer(receive func(pgproto3.BackendMessage) error) error {
+// receiveUntilReady receives messages up to and including ReadyForQuery.
+func (c *Conn) receiveUntilReady(receive func(pgproto3.BackendMessage) error) error {
 	for {
 		message, err := c.frontend.Receive()
 		if err != nil {
@@ -224,9 +230,10 @@
 	}
 }
 
-// SendFlush sends messages that no ReadyForQuery will answer.
+// SendFlush sends messages followed by Flush instead of Sync, so that their
+// response doesn't end with ReadyForQuery.
 func (c *Conn) SendFlush(ctx context.Context, messages []pgproto3.FrontendMessage) error {
-	release := c.guard(ctx)
+	release := c.watchContext(ctx)
 	defer release()
 	for _, m := range messages {
 		c.frontend.Send(m)
@@ -240,9 +247,9 @@
 	return nil
 }
 
-// Receive takes one message.
+// Receive receives one message of the response to SendFlush.
 func (c *Conn) Receive(ctx context.Context) (pgproto3.BackendMessage, error) {
-	release := c.guard(ctx)
+	release := c.watchContext(ctx)
 	defer release()
 	message, err := c.frontend.Receive()
 	if err != nil {
@@ -252,7 +259,7 @@
 	return message, nil
 }
 
-// Cancel asks the target to cancel what the connection runs.
+// Cancel asks the target to cancel the statement that the connection is running.
 func (c *Conn) Cancel(ctx context.Context) error {
 	conn, err := c.dialer.Dial(ctx, c.address)
 	if err != nil {
@@ -269,7 +276,7 @@
 	if _, err := conn.Write(request); err != nil {
 		return trace.ConnectionProblem(err, "send cancel to target %s", c.Target)
 	}
-	// The target closes the connection once the request is in force.
+	// The target closes the connection once it has handled the request.
 	_, _ = conn.Read(make([]byte, 1))
 	return nil
 }
--- a/pkg/rosepool/control.go
+++ b/pkg/rosepool/control.go
@@ -12,11 +12,12 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// controlTimeout bounds a control call beyond its own wait.
+// controlTimeout bounds a control call, in addition to the time that a watch
+// asks the target to wait.
 const controlTimeout = 600 * time.Millisecond
 
-// Control drives one target over a connection of its own. It implements
-// rosemary.TargetControl and serves one call at a time.
+// Control calls a target's control functions over its own connection. It
+// implements rosemary.TargetControl and runs one call at a time.
 type Control struct {
 	config Config
 	conn   *Conn
@@ -24,7 +25,7 @@
 
 var _ rosemary.TargetControl = (*Control)(nil)
 
-// NewControl returns a control that connects at its first call.
+// NewControl returns a control that connects on its first call.
 func NewControl(config Config) *Control {
 	return &Control{config: config}
 }
@@ -37,14 +38,15 @@
 	}
 }
 
-// Watch returns the target's status once it differs from known, or after wait.
+// Watch returns the target's status as soon as it differs from known, at the
+// latest after wait.
 func (c *Control) Watch(ctx context.Context, known rosemary.Status, wait time.Duration) (rosemary.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+controlTimeout)
 	defer cancel()
 	if err := c.connect(ctx); err != nil {
 		return rosemary.Status{}, err
 	}
-	rows, err := c.conn.watch(ctx, known.Fingerprint(), strconv.FormatInt(wait.Milliseconds(), 10))
+	rows, err := c.conn.queryWatch(ctx, known.Fingerprint(), strconv.FormatInt(wait.Milliseconds(), 10))
 	if c.conn.Broken() {
 		c.conn = nil
 	}
@@ -57,7 +59,7 @@
 	return parseStatus(rows)
 }
 
-// connect opens the connection if there is none.
+// connect opens the connection if none is open.
 func (c *Control) connect(ctx context.Context) error {
 	if c.conn != nil {
 		return nil
@@ -70,11 +72,12 @@
 	return nil
 }
 
-// watchStatement is the name of the prepared watch. It keeps an idle watch
-// short: the target describes no columns, and sends no row without news.
+// watchStatement is the name of the prepared statement for Watch. Preparing it
+// keeps a watch without changes small on the wire: the target sends no column
+// descriptions, and no row.
 const watchStatement = "rose_watch"
 
-func (c *Conn) watch(ctx context.Context, args ...string) ([][]string, error) {
+func (c *Conn) queryWatch(ctx context.Context, args ...string) ([][]string, error) {
 	var messages []pgproto3.FrontendMessage
 	if !c.HasPrepared(watchStatement) {
 		messages = append(messages, &pgproto3.Parse{Name: watchStatement, Query: "SELECT * FROM rosemary.watch($1, $2)"})
@@ -86,19 +89,19 @@
 	messages = append(messages,
 		&pgproto3.Bind{PreparedStatement: watchStatement, Parameters: parameters},
 		&pgproto3.Execute{}, &pgproto3.Sync{})
-	rows, err := c.collect(ctx, messages)
+	rows, err := c.queryRows(ctx, messages)
 	if err == nil {
 		c.AddPrepared(watchStatement)
 	}
 	return rows, err
 }
 
-// Fence makes the target accept term and refuse writes of older terms.
+// Fence makes the target accept term and reject writes of older terms.
 func (c *Control) Fence(ctx context.Context, term uint64, proposer string) (rosemary.Status, error) {
 	return c.call(ctx, 0, "fence", strconv.FormatUint(term, 10), proposer)
 }
 
-// Promote makes a target fenced at term its primary.
+// Promote makes a target that is fenced at term the primary of term.
 func (c *Control) Promote(ctx context.Context, term uint64) (rosemary.Status, error) {
 	return c.call(ctx, 0, "promote", strconv.FormatUint(term, 10))
 }
@@ -127,14 +130,14 @@
 	return parseStatus(rows)
 }
 
-// Query runs a simple query and returns its rows in text form. An error
-// answered by the target is a trace.BadParameter.
+// Query runs a simple query and returns its rows in text format. An error
+// response of the target is returned as trace.BadParameter.
 func (c *Conn) Query(ctx context.Context, query string) ([][]string, error) {
-	return c.collect(ctx, []pgproto3.FrontendMessage{&pgproto3.Query{String: query}})
+	return c.queryRows(ctx, []pgproto3.FrontendMessage{&pgproto3.Query{String: query}})
 }
 
-// collect sends messages and returns the rows of the answer.
-func (c *Conn) collect(ctx context.Context, messages []pgproto3.FrontendMessage) ([][]string, error) {
+// queryRows sends messages and returns the rows of the response.
+func (c *Conn) queryRows(ctx context.Context, messages []pgproto3.FrontendMessage) ([][]string, error) {
 	var rows [][]string
 	var failure error
 	err := c.Exchange(ctx, Step{
@@ -159,17 +162,17 @@
 	return rows, failure
 }
 
-// statusFields is the number of columns of a status.
-const statusFields = 8
+// statusColumns is the number of columns that the control functions return.
+const statusColumns = 8
 
 func parseStatus(rows [][]string) (rosemary.Status, error) {
-	if len(rows) != 1 || len(rows[0]) != statusFields {
-		return rosemary.Status{}, trace.BadParameter("the target's control functions are of another version")
+	if len(rows) != 1 || len(rows[0]) != statusColumns {
+		return rosemary.Status{}, trace.BadParameter("unexpected status row: the target's control functions have another version")
 	}
 	f := rows[0]
 	term, err := strconv.ParseUint(f[1], 10, 64)
 	if err != nil {
-		return rosemary.Status{}, trace.BadParameter("status: bad term %q", f[1])
+		return rosemary.Status{}, trace.BadParameter("status: invalid term %q", f[1])
 	}
 	position, err := rosemary.ParsePosition(f[2])
 	if err != nil {
--- a/pkg/rosepool/login.go
+++ b/pkg/rosepool/login.go
@@ -6,37 +6,37 @@
 	"github.com/xdg-go/scram"
 )
 
-// login answers a target's demand for a password.
-type login struct {
+// authenticator responds to a target's authentication requests.
+type authenticator struct {
 	conn         *Conn
 	credentials  Credentials
 	conversation *scram.ClientConversation
 }
 
-// answer reacts to one authentication message. Errors are
-// trace.AccessDenied for a method or password that doesn't fit.
-func (l *login) answer(message pgproto3.BackendMessage) error {
+// handle responds to one authentication message. Errors are
+// trace.AccessDenied if the method isn't supported or the SCRAM exchange fails.
+func (l *authenticator) handle(message pgproto3.BackendMessage) error {
 	switch m := message.(type) {
 	case *pgproto3.AuthenticationOk, *pgproto3.NoticeResponse:
 		return nil
 	case *pgproto3.AuthenticationSASL:
-		return l.start(m.AuthMechanisms)
+		return l.startSASL(m.AuthMechanisms)
 	case *pgproto3.AuthenticationSASLContinue:
-		return l.step(m.Data)
+		return l.continueSASL(m.Data)
 	case *pgproto3.AuthenticationSASLFinal:
 		_, err := l.conversation.Step(string(m.Data))
 		if err != nil {
-			return trace.AccessDenied("the target's SCRAM proof is wrong: %v", err)
+			return trace.AccessDenied("invalid final SCRAM message from the target: %v", err)
 		}
 		return nil
 	}
-	return trace.AccessDenied("the target demands %T; set it to scram-sha-256 or trust for the proxy", message)
+	return trace.AccessDenied("the target sent %T during authentication; configure scram-sha-256 or trust for the proxy there", message)
 }
 
-func (l *login) start(mechanisms []string) error {
+func (l *authenticator) startSASL(mechanisms []string) error {
 	client, err := scram.SHA256.NewClient(l.credentials.User, l.credentials.Password, "")
 	if err != nil {
-		return trace.AccessDenied("the target password can't be used: %v", err)
+		return trace.AccessDenied("invalid user or password for SCRAM: %v", err)
 	}
 	for _, m := range mechanisms {
 		if m != "SCRAM-SHA-256" {
@@ -50,16 +50,16 @@
 		l.conn.frontend.Send(&pgproto3.SASLInitialResponse{AuthMechanism: m, Data: []byte(first)})
 		return trace.Wrap(l.conn.frontend.Flush())
 	}
-	return trace.AccessDenied("the target offers %v; enable SCRAM-SHA-256", mechanisms)
+	return trace.AccessDenied("the target offers only the SASL mechanisms %v; enable SCRAM-SHA-256 there", mechanisms)
 }
 
-func (l *login) step(data []byte) error {
+func (l *authenticator) continueSASL(data []byte) error {
 	if l.conversation == nil {
-		return trace.AccessDenied("the target continued a SCRAM exchange that was not begun")
+		return trace.AccessDenied("the target continued a SCRAM exchange that was not started")
 	}
 	response, err := l.conversation.Step(string(data))
 	if err != nil {
-		return trace.AccessDenied("the target refused the password: %v", err)
+		return trace.AccessDenied("SCRAM exchange with the target failed: %v", err)
 	}
 	l.conn.frontend.Send(&pgproto3.SASLResponse{Data: []byte(response)})
 	return trace.Wrap(l.conn.frontend.Flush())
--- a/pkg/rosepool/pool.go
+++ b/pkg/rosepool/pool.go
@@ -12,32 +12,33 @@
 )
 
 const (
-	// probeAfter is the idle time after which a connection is probed.
-	probeAfter = 2 * time.Second
-	// probeTimeout bounds the wait for a probe's answer.
+	// probeIdleTime is the idle time after which a connection is probed before
+	// use.
+	probeIdleTime = 2 * time.Second
+	// probeTimeout bounds the wait for the response to a probe.
 	probeTimeout = 300 * time.Millisecond
-	// idleLimit is the idle time after which a connection is closed.
-	idleLimit = 5 * time.Minute
-	// parallelDials bounds the connections that are opened at once.
-	parallelDials = 2
-	// dialTimeout bounds the opening of one connection.
+	// maxIdleTime is the idle time after which Trim closes a connection.
+	maxIdleTime = 5 * time.Minute
+	// maxConcurrentDials bounds the connections being opened at the same time.
+	maxConcurrentDials = 2
+	// dialTimeout bounds the time to open a connection.
 	dialTimeout = time.Second
 )
 
-// Config sets up a Pool.
+// Config configures a Pool.
 type Config struct {
 	Target      rosemary.Target
 	Dialer      rosemary.Dialer
 	Credentials Credentials
-	// Limit is the number of connections that may be open.
+	// Limit is the maximum number of open connections.
 	Limit int
 }
 
-// Pool holds the connections to one target. Its methods may be called
+// Pool pools the connections to one target. Its methods may be called
 // concurrently.
 type Pool struct {
-	config Config
-	dials  chan struct{}
+	config    Config
+	dialSlots chan struct{}
 
 	mu         sync.Mutex
 	idle       []*Conn
@@ -51,31 +52,32 @@
 // NewPool returns a pool that opens connections on demand.
 func NewPool(config Config) *Pool {
 	return &Pool{
-		config: config,
-		dials:  make(chan struct{}, parallelDials),
-		limit:  max(config.Limit, 1),
-		freed:  make(chan struct{}),
+		config:    config,
+		dialSlots: make(chan struct{}, maxConcurrentDials),
+		limit:     max(config.Limit, 1),
+		freed:     make(chan struct{}),
 	}
 }
 
-// Acquire returns a connection for the caller's sole use until Release.
-// Nothing was sent on behalf of the caller when it fails. Errors are
-// trace.ConnectionProblem and trace.LimitExceeded, and those of ctx.
+// Acquire returns a connection for the caller's exclusive use until Release.
+// If it fails, nothing was sent on behalf of the caller. Errors are those of
+// Open; trace.ConnectionProblem wraps the error of ctx.
 func (p *Pool) Acquire(ctx context.Context) (*Conn, error) {
 	return p.acquire(ctx, 0)
 }
 
-// reserved is the number of connections beyond the limit that control calls
-// may open: a failover or a probe must not wait behind statements.
-const reserved = 1
+// controlReserve is the number of connections beyond the limit that control
+// calls may open, as a failover or a status check must not wait for statements
+// to finish.
+const controlReserve = 1
 
-// acquire is Acquire with some connections beyond the limit.
-func (p *Pool) acquire(ctx context.Context, beyond int) (*Conn, error) {
+// acquire is Acquire with a limit raised by extra.
+func (p *Pool) acquire(ctx context.Context, extra int) (*Conn, error) {
 	for {
 		if err := ctx.Err(); err != nil {
-			return nil, trace.ConnectionProblem(err, "connection to target %s", p.config.Target.ID)
+			return nil, trace.ConnectionProblem(err, "acquire connection to target %s", p.config.Target.ID)
 		}
-		conn, wait, err := p.take(beyond)
+		conn, wait, err := p.take(extra)
 		if err != nil {
 			return nil, err
 		}
@@ -90,7 +92,7 @@
 		if conn == nil {
 			return p.dial(ctx)
 		}
-		if time.Since(conn.lastUsed) < probeAfter || conn.probe(ctx) {
+		if time.Since(conn.lastUsed) < probeIdleTime || conn.probe(ctx) {
 			return conn, nil
 		}
 		conn.Close()
@@ -98,9 +100,10 @@
 	}
 }
 
-// take returns an idle connection, or none with a place to open one, or a
-// channel to wait on.
-func (p *Pool) take(beyond int) (*Conn, <-chan struct{}, error) {
+// take returns an idle connection, or a channel to wait on if the limit is
+// reached. If it returns neither, it has counted a connection as open that the
+// caller has to dial.
+func (p *Pool) take(extra int) (*Conn, <-chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -111,7 +114,7 @@
 		p.idle = p.idle[:last]
 		return conn, nil, nil
 	}
-	if p.open >= p.limit+beyond {
+	if p.open >= p.limit+extra {
 		return nil, p.freed, nil
 	}
 	p.open++
@@ -122,39 +125,40 @@
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	select {
-	case p.dials <- struct{}{}:
-		defer func() { <-p.dials }()
+	case p.dialSlots <- struct{}{}:
+		defer func() { <-p.dialSlots }()
 	case <-ctx.Done():
-		p.drop()
-		return nil, trace.ConnectionProblem(ctx.Err(), "waiting to dial target %s", p.config.Target.ID)
+		p.releaseSlot()
+		return nil, trace.ConnectionProblem(ctx.Err(), "wait for other dials to target %s", p.config.Target.ID)
 	}
 	p.mu.Lock()
 	generation := p.generation
 	p.mu.Unlock()
 	conn, err := Open(ctx, p.config.Dialer, p.config.Target, p.config.Credentials)
 	if err != nil {
-		p.drop()
+		p.releaseSlot()
 		return nil, err
 	}
 	conn.generation = generation
 	return conn, nil
 }
 
-// drop forgets one open connection.
-func (p *Pool) drop() {
+// releaseSlot uncounts a connection that could not be opened.
+func (p *Pool) releaseSlot() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
-	p.wake()
+	p.notifyWaiters()
 }
 
-func (p *Pool) wake() {
+func (p *Pool) notifyWaiters() {
 	close(p.freed)
 	p.freed = make(chan struct{})
 }
 
-// Release gives a connection back. One that is broken, in a transaction, or
-// older than the last Invalidate is closed.
+// Release returns a connection to the pool. It is closed instead if it is
+// broken, in a transaction or older than the last Invalidate, or if the pool
+// is closed or over its limit.
 func (p *Pool) Release(conn *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -165,10 +169,11 @@
 		conn.Close()
 		p.open--
 	}
-	p.wake()
+	p.notifyWaiters()
 }
 
-// Invalidate closes idle connections now and those in use at their release.
+// Invalidate closes idle connections now, and those in use when they are
+// released.
 func (p *Pool) Invalidate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,17 +181,18 @@
 	p.closeIdle(0)
 }
 
-// closeIdle closes idle connections down to keep. The lock is held.
+// closeIdle closes the oldest idle connections until keep are left. The caller
+// holds the lock.
 func (p *Pool) closeIdle(keep int) {
 	for len(p.idle) > keep {
 		p.idle[0].Close()
 		p.idle = p.idle[1:]
 		p.open--
 	}
-	p.wake()
+	p.notifyWaiters()
 }
 
-// SetLimit changes the number of connections that may be open.
+// SetLimit changes the maximum number of open connections.
 func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,18 +201,18 @@
 	p.closeIdle(max(len(p.idle)-surplus, 0))
 }
 
-// Trim closes connections that have been idle for long.
+// Trim closes connections that have been idle for longer than maxIdleTime.
 func (p *Pool) Trim() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := 0
-	for old < len(p.idle) && time.Since(p.idle[old].lastUsed) > idleLimit {
-		old++
+	expired := 0
+	for expired < len(p.idle) && time.Since(p.idle[expired].lastUsed) > maxIdleTime {
+		expired++
 	}
-	p.closeIdle(len(p.idle) - old)
+	p.closeIdle(len(p.idle) - expired)
 }
 
-// Close closes the pool; connections in use are closed at their release.
+// Close closes the pool. Connections in use are closed when they are released.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -214,14 +220,15 @@
 	p.closeIdle(0)
 }
 
-// OpenCount returns the number of connections open now.
+// OpenCount returns the number of open connections, including those being
+// dialed.
 func (p *Pool) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// probe reports whether an idle connection still answers.
+// probe reports whether an idle connection still responds.
 func (c *Conn) probe(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/pkg/rosepool/pool_test.go
+++ b/pkg/rosepool/pool_test.go
@@ -17,8 +17,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosepool"
 )
 
-// withPool runs check with a pool of two connections to a stand-in target.
-func withPool(t *testing.T, check func(*qt.C, *rosepool.Pool, *rosenet.Network)) {
+// withPool runs test with a pool of up to two connections to a simulated target.
+func withPool(t *testing.T, test func(*qt.C, *rosepool.Pool, *rosenet.Network)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		network := rosenet.NewNetwork(rosenet.Config{InMemory: true})
@@ -29,19 +29,19 @@
 			Dialer: network.Dialer(rosenet.Host{Name: "p", Zone: "a"}),
 			Limit:  2,
 		})
-		check(c, pool, network)
+		test(c, pool, network)
 		pool.Close()
 		cluster.Close()
 		network.Close()
 	})
 }
 
-func TestAcquireEndsWithItsContext(t *testing.T) {
+func TestAcquireWithCanceledContext(t *testing.T) {
 	withPool(t, func(c *qt.C, pool *rosepool.Pool, _ *rosenet.Network) {
 		conn, err := pool.Acquire(context.Background())
 		c.Assert(err, qt.IsNil)
 		pool.Release(conn)
-		// An idle connection old enough to be probed, and no time to do so.
+		// The connection is due to be probed, but the context is canceled.
 		time.Sleep(time.Minute)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestASilentIdleConnectionIsReplaced(t *testing.T) {
+func TestUnresponsiveIdleConnectionIsReplaced(t *testing.T) {
 	withPool(t, func(c *qt.C, pool *rosepool.Pool, network *rosenet.Network) {
 		conn, err := pool.Acquire(context.Background())
 		c.Assert(err, qt.IsNil)
@@ -59,17 +59,17 @@
 		time.Sleep(time.Minute)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		fresh, err := pool.Acquire(ctx)
+		replacement, err := pool.Acquire(ctx)
 		c.Assert(err, qt.IsNil)
-		c.Check(fresh == conn, qt.IsFalse)
-		rows, err := fresh.Query(ctx, "SELECT 1")
+		c.Check(replacement == conn, qt.IsFalse)
+		rows, err := replacement.Query(ctx, "SELECT 1")
 		c.Assert(err, qt.IsNil)
 		c.Check(rows, qt.DeepEquals, [][]string{{"1"}})
-		pool.Release(fresh)
+		pool.Release(replacement)
 	})
 }
 
-func TestTheLimitHolds(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	withPool(t, func(c *qt.C, pool *rosepool.Pool, _ *rosenet.Network) {
 		first, err := pool.Acquire(context.Background())
 		c.Assert(err, qt.IsNil)
@@ -80,7 +80,7 @@
 		_, err = pool.Acquire(ctx)
 		c.Check(err, qt.ErrorMatches, ".*no free connection.*")
 		status, err := rosepool.NewPooledControl(pool).Watch(context.Background(), rosemary.Status{}, 0)
-		c.Assert(err, qt.IsNil, qt.Commentf("control calls don't wait behind statements"))
+		c.Assert(err, qt.IsNil, qt.Commentf("control calls must not wait for statements"))
 		c.Check(status.Role, qt.Equals, rosemary.RolePrimary)
 		pool.Release(first)
 		third, err := pool.Acquire(context.Background())
@@ -92,19 +92,19 @@
 	})
 }
 
-// countingDialer counts the bytes that pass both ways.
+// countingDialer counts the bytes sent and received on its connections.
 type countingDialer struct {
 	rosemary.Dialer
 	bytes atomic.Int64
 }
 
-// countingConn is one stream of a countingDialer.
+// countingConn is a connection of a countingDialer.
 type countingConn struct {
 	net.Conn
 	dialer *countingDialer
 }
 
-// Dial opens a counted stream.
+// Dial opens a connection whose bytes are counted.
 func (d *countingDialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := d.Dialer.Dial(ctx, address)
 	return countingConn{conn, d}, err
@@ -122,8 +122,8 @@
 	return n, err
 }
 
-// BenchmarkIdleWatch reports what one watch without news costs, the target's
-// side included, and its bytes both ways without those of TCP and IP.
+// BenchmarkIdleWatch measures a watch without changes, including the target's
+// side of it, and reports the bytes sent and received without TCP and IP headers.
 func BenchmarkIdleWatch(b *testing.B) {
 	c := qt.New(b)
 	network := rosenet.NewNetwork(rosenet.Config{})
--- a/pkg/rosepool/prepared.go
+++ b/pkg/rosepool/prepared.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// preparedSet knows which statements a connection has prepared, oldest first.
+// preparedSet records the statements prepared on a connection, oldest first.
 type preparedSet struct {
-	most  int
+	limit int
 	names map[string]struct{}
 	order []string
 }
 
-func newPreparedSet(most int) preparedSet {
-	return preparedSet{most: most, names: make(map[string]struct{})}
+func newPreparedSet(limit int) preparedSet {
+	return preparedSet{limit: limit, names: make(map[string]struct{})}
 }
 
-// HasPrepared reports whether the statement of that name is prepared.
+// HasPrepared reports whether a statement with that name is prepared.
 func (c *Conn) HasPrepared(name string) bool {
 	_, ok := c.prepared.names[name]
 	return ok
@@ -28,7 +28,7 @@
 	c.prepared.order = append(c.prepared.order, name)
 }
 
-// RemovePrepared records that a statement is gone.
+// RemovePrepared records that a statement is no longer prepared.
 func (c *Conn) RemovePrepared(name string) {
 	if !c.HasPrepared(name) {
 		return
@@ -37,10 +37,10 @@
 	c.prepared.order = slices.DeleteFunc(c.prepared.order, func(n string) bool { return n == name })
 }
 
-// PreparedToEvict returns the oldest statement when there are too many, for
-// the caller to close, or an empty string.
+// PreparedToEvict returns the oldest statement if the connection's limit is
+// reached, for the caller to close, or an empty string.
 func (c *Conn) PreparedToEvict() string {
-	if len(c.prepared.order) < c.prepared.most {
+	if len(c.prepared.order) < c.prepared.limit {
 		return ""
 	}
 	return c.prepared.order[0]
