--- a/internal/rosenode/facts.go
+++ b/internal/rosenode/facts.go
@@ -13,24 +13,26 @@
 )
 
 const (
-	// factsInterval separates questions for the statuses that others sample.
-	factsInterval = 250 * time.Millisecond
-	// factsTimeout bounds the wait for a reply.
-	factsTimeout = 200 * time.Millisecond
+	// statusPollInterval is how often the proxies that sample targets are asked
+	// for their statuses.
+	statusPollInterval = 250 * time.Millisecond
+	// statusPollTimeout bounds the wait for a reply.
+	statusPollTimeout = 200 * time.Millisecond
 )
 
-// followFacts gets the statuses of targets from the proxies that sample them:
-// one for each group, so that targets aren't asked by every proxy.
-func (n *Node) followFacts(ctx context.Context) {
-	for roseclock.Sleep(ctx, factsInterval) {
-		for _, source := range n.sources() {
-			n.askFacts(ctx, source)
+// pollStatuses polls the statuses of targets from other proxies. One proxy
+// samples the targets of a group for the others, so that targets don't have to
+// answer every proxy.
+func (n *Node) pollStatuses(ctx context.Context) {
+	for roseclock.Sleep(ctx, statusPollInterval) {
+		for _, source := range n.statusSources() {
+			n.pollStatusesFrom(ctx, source)
 		}
 	}
 }
 
-// sources returns the proxies that sample a group for this one.
-func (n *Node) sources() []rosemary.ProxyID {
+// statusSources returns the proxies that sample this proxy's home groups.
+func (n *Node) statusSources() []rosemary.ProxyID {
 	c := n.configuration.Load()
 	if c == nil {
 		return nil
@@ -39,25 +41,25 @@
 	seen := map[rosemary.ProxyID]bool{n.config.Self.Proxy: true}
 	var sources []rosemary.ProxyID
 	for _, name := range n.homeGroups() {
-		all := n.homesOf(name, c)
-		serving := slices.DeleteFunc(slices.Clone(live), func(m rosemary.Member) bool { return !isHome(m.Proxy, all) })
+		groupHomes := n.homesForGroup(name, c)
+		serving := slices.DeleteFunc(slices.Clone(live), func(m rosemary.Member) bool { return !isHome(m.Proxy, groupHomes) })
 		if len(serving) == 0 {
 			continue
 		}
-		first := rosepeer.RendezvousOrder("sample/"+name, serving)[0].Proxy
-		if !seen[first] {
-			seen[first] = true
-			sources = append(sources, first)
+		source := rosepeer.RendezvousOrder("sample/"+name, serving)[0].Proxy
+		if !seen[source] {
+			seen[source] = true
+			sources = append(sources, source)
 		}
 	}
 	return sources
 }
 
-// askFacts takes in the statuses that a proxy has sampled. Their age counts
-// from before the question was sent, so the way of the reply makes no status
-// look younger than it is.
-func (n *Node) askFacts(ctx context.Context, source rosemary.ProxyID) {
-	ctx, cancel := context.WithTimeout(ctx, factsTimeout)
+// pollStatusesFrom adds the statuses that a proxy has sampled to its groups.
+// Their ages count from before the question was sent, so that the transfer of
+// the reply makes no status look newer than it is.
+func (n *Node) pollStatusesFrom(ctx context.Context, source rosemary.ProxyID) {
+	ctx, cancel := context.WithTimeout(ctx, statusPollTimeout)
 	defer cancel()
 	askedAt := n.config.Clock.Now()
 	reply, answered := n.mesh.Query(ctx, source, rosewire.Question{About: rosepeer.AboutTargetStatuses})
@@ -66,17 +68,17 @@
 	}
 	byGroup := make(map[string][]rosegroup.SharedStatus)
 	for _, f := range reply.Facts {
-		byGroup[f.Group] = append(byGroup[f.Group], sharedOf(f, askedAt))
+		byGroup[f.Group] = append(byGroup[f.Group], decodeStatus(f, askedAt))
 	}
-	for name, shared := range byGroup {
+	for name, statuses := range byGroup {
 		if g, found := n.Group(name); found {
-			g.ObserveShared(shared)
+			g.ObserveShared(statuses)
 		}
 	}
 }
 
-// facts returns the statuses that this proxy has sampled itself.
-func (n *Node) facts() []rosewire.Fact {
+// recentStatuses returns the recent statuses that this proxy has sampled itself.
+func (n *Node) recentStatuses() []rosewire.Fact {
 	now := n.config.Clock.Now()
 	var facts []rosewire.Fact
 	for _, name := range n.groupNames() {
@@ -85,13 +87,13 @@
 			continue
 		}
 		for _, s := range g.RecentStatuses() {
-			facts = append(facts, factOf(name, s, now))
+			facts = append(facts, encodeStatus(name, s, now))
 		}
 	}
 	return facts
 }
 
-func factOf(group string, s rosegroup.SharedStatus, now time.Time) rosewire.Fact {
+func encodeStatus(group string, s rosegroup.SharedStatus, now time.Time) rosewire.Fact {
 	fact := rosewire.Fact{
 		Group:         group,
 		Target:        string(s.Status.Target),
@@ -102,7 +104,7 @@
 		Offset:        s.Status.Position.Offset,
 		AppliedTerm:   s.Status.Applied.LogTerm,
 		AppliedOffset: s.Status.Applied.Offset,
-		// Rounded up: an age must not be understated.
+		// Rounded up, as an age must not be understated.
 		AgeMs: uint64(now.Sub(s.SentAt).Milliseconds()) + 1,
 	}
 	if !s.UnfencedSince.IsZero() {
@@ -111,7 +113,7 @@
 	return fact
 }
 
-func sharedOf(f rosewire.Fact, askedAt time.Time) rosegroup.SharedStatus {
+func decodeStatus(f rosewire.Fact, askedAt time.Time) rosegroup.SharedStatus {
 	role := rosemary.RoleReplica
 	if f.Primary {
 		role = rosemary.RolePrimary
--- a/internal/rosenode/follow.go
+++ b/internal/rosenode/follow.go
@@ -16,47 +16,49 @@
 )
 
 const (
-	// awaitTime is how long a wait for a new configuration lasts: a watch
-	// that has gone silent delays a version by no more.
-	awaitTime = 1800 * time.Millisecond
-	// followPause follows a failed call.
-	followPause = 150 * time.Millisecond
-	// fetchInterval separates reads of the whole configuration beside the
-	// watch, which may miss a change that the store has dropped.
+	// awaitTimeout bounds one wait for a new configuration, and so the delay of
+	// a version when a watch has stalled.
+	awaitTimeout = 1800 * time.Millisecond
+	// retryDelay follows a failed call to the store.
+	retryDelay = 150 * time.Millisecond
+	// fetchInterval is how often the whole configuration is read in addition to
+	// the watch, which may miss a change that the store has dropped.
 	fetchInterval = 10 * time.Second
-	// targetsInterval separates reads of the list of targets.
+	// targetsInterval is how often a home proxy reads the list of targets.
 	targetsInterval = 1400 * time.Millisecond
-	// targetsTimeout bounds one read of it.
+	// targetsTimeout bounds one read of the targets or of the configuration.
 	targetsTimeout = 1500 * time.Millisecond
-	// smallFleet is the number of proxies up to which each asks the store as
-	// often as it can use.
-	smallFleet = 12.0
-	// mostStretch bounds how much less often a proxy of a large fleet asks.
-	mostStretch = 4.0
-	// visitorPauses is how many times less often a proxy reads the targets
-	// that it only needs when no home is reached.
-	visitorPauses = 6
-	// returnTime is how long the targets that are missing from the list
-	// after an outage of the store have to come back.
-	returnTime = 2500 * time.Millisecond
-	// controlConnections are left of a target's connections for control.
+	// maxUnscaledProxies is the cluster size up to which proxies call the store
+	// at their normal intervals.
+	maxUnscaledProxies = 12.0
+	// maxIntervalScale bounds the factor by which a larger cluster lengthens
+	// the intervals.
+	maxIntervalScale = 4.0
+	// nonHomeIntervalFactor lengthens targetsInterval for a proxy that is home
+	// to no group, as it needs the targets only when no home proxy is reachable.
+	nonHomeIntervalFactor = 6
+	// reregistrationTime is how long after an outage of the store targets that
+	// are missing from the list are kept, for them to register again.
+	reregistrationTime = 2500 * time.Millisecond
+	// controlConnections is the number of a target's connections that are
+	// reserved for status and control calls.
 	controlConnections = 3
 )
 
-// followConfiguration brings each new configuration into force.
+// followConfiguration applies each new configuration in the store.
 func (n *Node) followConfiguration(ctx context.Context) {
 	revision, fetchedAt := int64(0), time.Time{}
 	lost := false
 	for ctx.Err() == nil {
 		var configuration *rosemary.Configuration
 		var err error
-		if revision == 0 || time.Since(fetchedAt) > n.stretch(fetchInterval) {
-			calling, cancel := context.WithTimeout(ctx, targetsTimeout)
-			configuration, revision, err = n.config.Configurations.Fetch(calling)
+		if revision == 0 || time.Since(fetchedAt) > n.scaleInterval(fetchInterval) {
+			callCtx, cancel := context.WithTimeout(ctx, targetsTimeout)
+			configuration, revision, err = n.config.Configurations.Fetch(callCtx)
 			cancel()
 			fetchedAt = time.Now()
 		} else {
-			configuration, revision, err = n.config.Configurations.Await(ctx, revision, n.stretch(awaitTime))
+			configuration, revision, err = n.config.Configurations.Await(ctx, revision, n.scaleInterval(awaitTimeout))
 		}
 		switch {
 		case err == nil:
@@ -73,56 +75,57 @@
 			klog.InfoS("store lost", "for", "configuration", "err", roselog.Err(err))
 		}
 		revision = 0
-		roseclock.Sleep(ctx, followPause)
+		roseclock.Sleep(ctx, retryDelay)
 	}
 }
 
-// stretch lengthens an interval with the fleet, so that calls of the store
-// grow more slowly than it: what one proxy learns the others hear from it.
-func (n *Node) stretch(interval time.Duration) time.Duration {
-	factor := float64(len(n.duty.Members())) / smallFleet
-	return time.Duration(float64(interval) * min(max(factor, 1), mostStretch))
+// scaleInterval lengthens an interval for a large cluster, so that the load on
+// the store grows more slowly than the cluster. New configurations also spread
+// between proxies.
+func (n *Node) scaleInterval(interval time.Duration) time.Duration {
+	factor := float64(len(n.locks.Members())) / maxUnscaledProxies
+	return time.Duration(float64(interval) * min(max(factor, 1), maxIntervalScale))
 }
 
-// targetsPause separates reads of the targets: seldom for a proxy that is no
-// group's home.
-func (n *Node) targetsPause() time.Duration {
+// targetsReadInterval returns the interval between reads of the targets. Once
+// they have been read, it is longer for a proxy that serves no group.
+func (n *Node) targetsReadInterval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.listed {
+	if !n.targetsLoaded {
 		return targetsInterval
 	}
 	for _, g := range n.groups {
-		if g.home || g.visited() {
+		if g.home || g.servedTemporarily() {
 			return targetsInterval
 		}
 	}
-	return visitorPauses * targetsInterval
+	return nonHomeIntervalFactor * targetsInterval
 }
 
-// apply brings a configuration into force if it is newer.
+// apply puts a configuration in force if it is newer than the current one.
 func (n *Node) apply(c *rosemary.Configuration) {
 	if c == nil {
 		return
 	}
-	present := n.configuration.Load()
-	if present != nil && c.Version <= present.Version {
+	current := n.configuration.Load()
+	if current != nil && c.Version <= current.Version {
 		return
 	}
 	n.configuration.Store(c)
-	n.metrics.configured(c.Version)
+	n.metrics.setConfigurationVersion(c.Version)
 	n.mesh.SetBundleVersion(uint64(c.Version))
 	klog.InfoS("configuration in force", "version", c.Version, "routes", len(c.Routes), "groups", len(c.Groups))
-	n.spread(false)
+	n.updateGroups(false)
 }
 
-// followTargets keeps the groups' targets up to date.
+// followTargets updates the groups with the targets registered in the store.
 func (n *Node) followTargets(ctx context.Context) {
 	failed := false
-	var returned time.Time
+	var regainedAt time.Time
 	for ctx.Err() == nil {
-		calling, cancel := context.WithTimeout(ctx, targetsTimeout)
-		listings, unreadable, err := n.config.Targets.Targets(calling)
+		callCtx, cancel := context.WithTimeout(ctx, targetsTimeout)
+		registrations, unreadable, err := n.config.Targets.Targets(callCtx)
 		cancel()
 		switch {
 		case err != nil && ctx.Err() == nil:
@@ -132,85 +135,86 @@
 			failed = true
 		case err == nil:
 			if failed {
-				klog.InfoS("store regained", "for", "targets", "targets", len(listings))
-				returned = time.Now()
+				klog.InfoS("store regained", "for", "targets", "targets", len(registrations))
+				regainedAt = time.Now()
 			}
 			failed = false
-			n.metrics.unreadable(unreadable)
-			n.take(listings, time.Since(returned) < returnTime)
+			n.metrics.setUnreadableEntries(unreadable)
+			n.replaceTargets(registrations, time.Since(regainedAt) < reregistrationTime)
 		}
-		n.restTargets(ctx)
+		n.awaitTargetsRead(ctx)
 	}
 }
 
-// restTargets waits until the targets are due to be read again.
-func (n *Node) restTargets(ctx context.Context) {
-	timer := time.NewTimer(n.targetsPause())
+// awaitTargetsRead waits until the targets are due to be read again.
+func (n *Node) awaitTargetsRead(ctx context.Context) {
+	timer := time.NewTimer(n.targetsReadInterval())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-n.readTargets:
+	case <-n.readTargetsNow:
 	case <-ctx.Done():
 	}
 }
 
-// take replaces the targets known; keepMissing leaves those that the list
-// lacks.
-func (n *Node) take(listings []rosemary.TargetRegistration, keepMissing bool) {
+// replaceTargets replaces the known targets. With keepMissing, it keeps those
+// that aren't in registrations.
+func (n *Node) replaceTargets(registrations []rosemary.TargetRegistration, keepMissing bool) {
 	n.mu.Lock()
 	if keepMissing {
-		for _, old := range n.listings {
-			same := func(l rosemary.TargetRegistration) bool { return l.ID == old.ID }
-			if !slices.ContainsFunc(listings, same) {
-				listings = append(listings, old)
+		for _, previous := range n.registrations {
+			same := func(l rosemary.TargetRegistration) bool { return l.ID == previous.ID }
+			if !slices.ContainsFunc(registrations, same) {
+				registrations = append(registrations, previous)
 			}
 		}
 	}
-	n.listings, n.listed = listings, true
+	n.registrations, n.targetsLoaded = registrations, true
 	n.mu.Unlock()
-	n.spread(true)
+	n.updateGroups(true)
 }
 
-// spread hands the targets to their groups. A group whose homes are elsewhere
-// gets them only fresh from the store.
-func (n *Node) spread(fresh bool) {
+// updateGroups passes the targets and connection limits to the groups, and
+// starts and stops groups with the configuration. A group that is served
+// temporarily is updated only with targets just read from the store.
+func (n *Node) updateGroups(fromStore bool) {
 	c := n.configuration.Load()
 	if c == nil {
 		return
 	}
-	members := n.duty.Members()
+	members := n.locks.Members()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.context == nil || n.context.Err() != nil {
 		return
 	}
-	for name, rule := range c.Groups {
+	for name, settings := range c.Groups {
 		g := n.groups[name]
 		if g == nil {
 			g = n.startGroup(name)
 		}
-		var own []rosemary.TargetRegistration
-		for _, l := range n.listings {
+		var registrations []rosemary.TargetRegistration
+		for _, l := range n.registrations {
 			if l.Group == name {
-				own = append(own, l)
+				registrations = append(registrations, l)
 			}
 		}
-		slots := slotsOf(name, n.listings)
-		free := freeConnections(rule, slots)
-		all := homes(name, free, members)
-		links := linksOf(free, n.config.Self, all)
-		if time.Since(n.started) < settleTime {
-			links = modest(links, slots)
+		slots := minSlots(name, n.registrations)
+		available := availableConns(settings, slots)
+		groupHomes := homes(name, available, members)
+		limits := connLimits(available, n.config.Self, groupHomes)
+		if time.Since(n.started) < startupTime {
+			limits = limitToSlots(limits, slots)
 		}
-		g.home = isHome(n.config.Self.Proxy, all)
-		if !g.home && g.visited() && !fresh {
+		g.home = isHome(n.config.Self.Proxy, groupHomes)
+		if !g.home && g.servedTemporarily() && !fromStore {
 			continue
 		}
-		if !g.home && !g.visited() {
-			own = nil
+		if !g.home && !g.servedTemporarily() {
+			registrations = nil
 		}
-		if n.listed {
-			g.Update(own, links)
+		if n.targetsLoaded {
+			g.Update(registrations, limits)
 		}
 	}
 	for name, g := range n.groups {
@@ -224,19 +228,19 @@
 	}
 }
 
-// startGroup begins to look after a group. The lock is held.
+// startGroup starts a group and its replacer. The caller holds the lock.
 func (n *Node) startGroup(name string) *group {
 	ctx, cancel := context.WithCancel(n.context)
 	g := &group{
 		Group: rosefleet.New(rosefleet.Config{
 			Name: name, Zone: n.config.Self.Zone, Dialer: n.config.TargetDialer, Clock: n.config.Clock,
-			AllowPrimary: n.trusted, ZonePartitioned: n.cut.Load,
+			AllowPrimary: n.allowPrimary, ZonePartitioned: n.zonePartitioned.Load,
 		}),
 		cancel: cancel,
 	}
 	n.groups[name] = g
 	g.replacer = rosesupervisor.NewReplacer(rosesupervisor.ReplacerConfig{
-		Self: n.config.Self.Proxy, Group: g.Group, Locks: n.duty, Promoter: n.config.Promoter, Clock: n.config.Clock,
+		Self: n.config.Self.Proxy, Group: g.Group, Locks: n.locks, Promoter: n.config.Promoter, Clock: n.config.Clock,
 		Voters:     peers{n.mesh},
 		ProxyCount: func() int { return n.homeCount(name) },
 	})
--- a/internal/rosenode/homes_test.go
+++ b/internal/rosenode/homes_test.go
@@ -21,8 +21,8 @@
 	return members
 }
 
-// The links of all homes stay within what a target accepts.
-func TestLinksStayWithinTheConnections(t *testing.T) {
+// The connections of all home proxies stay within what a target accepts.
+func TestHomeConnectionsStayWithinLimit(t *testing.T) {
 	tests := []struct {
 		name        string
 		connections int
@@ -30,25 +30,25 @@
 		members     []rosemary.Member
 		homes       int
 	}{
-		{"licences", 22, 3, proxies(3, 2, 1), 6},
-		{"races", 50, 5, proxies(3, 2, 1), 6},
-		{"licences, grown", 34, 3, proxies(30, 21, 18), 3},
-		{"races, grown", 151, 6, proxies(17, 13, 14, 17), 8},
-		{"three hundred", 34, 3, proxies(100, 100, 100), 3},
-		{"alone", 22, 3, proxies(1), 1},
-		{"hardly any", 4, 3, proxies(2, 2, 2), 3},
+		{"small cluster, few connections", 22, 3, proxies(3, 2, 1), 6},
+		{"small cluster, many connections", 50, 5, proxies(3, 2, 1), 6},
+		{"large cluster, few connections", 34, 3, proxies(30, 21, 18), 3},
+		{"large cluster, many connections", 151, 6, proxies(17, 13, 14, 17), 8},
+		{"300 proxies", 34, 3, proxies(100, 100, 100), 3},
+		{"single proxy", 22, 3, proxies(1), 1},
+		{"fewer connections than proxies", 4, 3, proxies(2, 2, 2), 3},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			rule := rosemary.GroupSettings{Name: "g", MaxConnections: test.connections}
-			free := freeConnections(rule, test.slots)
-			all := homes("g", free, test.members)
-			qt.Check(t, all, qt.HasLen, test.homes)
-			sum := 0
-			for _, m := range all {
-				sum += linksOf(free, m, all).Share
+			settings := rosemary.GroupSettings{Name: "g", MaxConnections: test.connections}
+			available := availableConns(settings, test.slots)
+			groupHomes := homes("g", available, test.members)
+			qt.Check(t, groupHomes, qt.HasLen, test.homes)
+			total := 0
+			for _, m := range groupHomes {
+				total += connLimits(available, m, groupHomes).Share
 			}
-			qt.Check(t, sum <= max(free, len(all)), qt.IsTrue, qt.Commentf("%d links of %d", sum, free))
+			qt.Check(t, total <= max(available, len(groupHomes)), qt.IsTrue, qt.Commentf("%d connections of %d", total, available))
 		})
 	}
 }
--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -1,5 +1,5 @@
-// Package rosenode puts together a proxy whose targets, configuration and
-// peers are all found in the platform's store.
+// Package rosenode runs a proxy that finds its targets, its configuration and
+// the other proxies in the platform's store.
 package rosenode
 
 import (
@@ -21,23 +21,24 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesupervisor"
 )
 
-// Config sets up a Node.
+// Config configures a Node.
 type Config struct {
 	Self rosemary.Member
-	// Incarnation tells the starts of this proxy apart.
+	// Incarnation differs for each start of this proxy.
 	Incarnation    string
 	Store          rosemary.MetadataStore
 	Targets        rosemary.TargetSource
 	Configurations rosemary.ConfigurationSource
 	Promoter       rosemary.Promoter
 	TargetDialer   rosemary.TargetDialer
-	// Dialer reaches the other proxies.
+	// PeerDialer connects to other proxies.
 	PeerDialer rosemary.Dialer
-	// Clock counts suspended time.
+	// Clock has to advance while the VM is suspended.
 	Clock roseclock.Clock
-	// OnCut is told when this proxy's zone is cut off from the others, and
-	// when it no longer is. It must not block; nil is told nothing.
-	OnZonePartitioned func(cut bool)
+	// OnZonePartitioned is called when this proxy's zone is cut off from the
+	// other availability zones, and when it no longer is. It must not block, and
+	// may be nil.
+	OnZonePartitioned func(partitioned bool)
 }
 
 // keyPrefix is put before this product's keys in the store.
@@ -45,48 +46,50 @@
 
 // Node is one proxy. Its methods may be called concurrently.
 type Node struct {
-	config  Config
-	duty    *rosesupervisor.LockManager
-	budget  *roseadmit.RetryBudget
-	mesh    *rosepeer.Mesh
-	carrier *rosecaller.LocalExecutor
-	relays  *roserelay.Server
-	homes   *roserelay.Client
-	metrics *Metrics
-	started time.Time
-	pulling atomic.Bool
-	// readTargets asks for the targets at once.
-	readTargets chan struct{}
-	// isolated is set while neither the store nor a peer hears this proxy.
+	config      Config
+	locks       *rosesupervisor.LockManager
+	budget      *roseadmit.RetryBudget
+	mesh        *rosepeer.Mesh
+	executor    *rosecaller.LocalExecutor
+	relayServer *roserelay.Server
+	relayClient *roserelay.Client
+	metrics     *Metrics
+	started     time.Time
+	fetching    atomic.Bool
+	// readTargetsNow makes followTargets read the targets at once.
+	readTargetsNow chan struct{}
+	// isolated is set while this proxy is neither registered in the store nor
+	// linked to a peer.
 	isolated atomic.Bool
-	// cut is set while this proxy's zone is cut off from the others.
-	cut atomic.Bool
+	// zonePartitioned is set while this proxy's zone is cut off from the others.
+	zonePartitioned atomic.Bool
 
 	configuration atomic.Pointer[rosemary.Configuration]
 	draining      atomic.Bool
 
-	mu       sync.Mutex
-	groups   map[string]*group
-	listings []rosemary.TargetRegistration
-	listed   bool
-	context  context.Context
-	tasks    sync.WaitGroup
+	mu            sync.Mutex
+	groups        map[string]*group
+	registrations []rosemary.TargetRegistration
+	targetsLoaded bool
+	context       context.Context
+	tasks         sync.WaitGroup
 }
 
-// group is one group with the task that replaces its primary.
+// group is a group with the replacer of its primary.
 type group struct {
 	*rosefleet.Group
 	replacer *rosesupervisor.Replacer
 	cancel   context.CancelFunc
-	// home is set while this proxy is one of the group's, and visitedTill is
-	// until when it keeps targets to serve the group without being one. Both
-	// are under the node's lock.
-	home        bool
-	visitedTill time.Time
+	// home is set while this proxy is a home proxy of the group. Otherwise it
+	// may serve the group until temporaryUntil. Both are guarded by the node's
+	// lock.
+	home           bool
+	temporaryUntil time.Time
 }
 
-// visited reports whether the group is served here without being at home.
-func (g *group) visited() bool { return time.Now().Before(g.visitedTill) }
+// servedTemporarily reports whether this proxy may serve the group without being
+// its home.
+func (g *group) servedTemporarily() bool { return time.Now().Before(g.temporaryUntil) }
 
 var (
 	_ rosecaller.Directory = (*Node)(nil)
@@ -105,13 +108,13 @@
 		started: time.Now(),
 		groups:  make(map[string]*group),
 
-		readTargets: make(chan struct{}, 1),
+		readTargetsNow: make(chan struct{}, 1),
 	}
 	n.mesh = n.newMesh()
-	n.carrier = rosecaller.NewLocalExecutor(rosecaller.LocalExecutorConfig{Group: n.Group, RetryBudget: n.budget})
-	n.relays = roserelay.NewServer(roserelay.ServerConfig{Executor: here{n}})
-	n.homes = roserelay.NewClient(roserelay.ClientConfig{Dialer: config.PeerDialer})
-	n.duty = rosesupervisor.NewLockManager(rosesupervisor.LockManagerConfig{
+	n.executor = rosecaller.NewLocalExecutor(rosecaller.LocalExecutorConfig{Group: n.Group, RetryBudget: n.budget})
+	n.relayServer = roserelay.NewServer(roserelay.ServerConfig{Executor: localExecutor{n}})
+	n.relayClient = roserelay.NewClient(roserelay.ClientConfig{Dialer: config.PeerDialer})
+	n.locks = rosesupervisor.NewLockManager(rosesupervisor.LockManagerConfig{
 		Store:          config.Store,
 		Clock:          config.Clock,
 		Self:           config.Self,
@@ -120,18 +123,19 @@
 		Groups:         n.homeGroups,
 		Peers:          peers{n.mesh},
 		PrimaryZone:    n.primaryZone,
-		PrimaryMissing: n.lacksPrimary,
+		PrimaryMissing: n.primaryMissing,
 	})
 	return n
 }
 
-// Run keeps the node's knowledge up to date until ctx ends.
+// Run follows the store and the other proxies until ctx ends, and then closes
+// the groups.
 func (n *Node) Run(ctx context.Context) {
 	n.mu.Lock()
 	n.context = ctx
 	n.mu.Unlock()
 	var tasks errgroup.Group
-	for _, task := range []func(context.Context){n.followConfiguration, n.followTargets, n.followPeers, n.followFacts, n.watchCut, n.mesh.Run, n.duty.Run} {
+	for _, task := range []func(context.Context){n.followConfiguration, n.followTargets, n.followMembers, n.pollStatuses, n.watchZonePartition, n.mesh.Run, n.locks.Run} {
 		tasks.Go(func() error {
 			task(ctx)
 			return nil
@@ -146,15 +150,15 @@
 		g.cancel()
 	}
 	n.tasks.Wait()
-	n.homes.Close()
-	n.relays.Close()
+	n.relayClient.Close()
+	n.relayServer.Close()
 	for _, g := range groups {
 		g.Close()
 	}
 }
 
-// lacksPrimary reports whether a group has no certain primary.
-func (n *Node) lacksPrimary() bool {
+// primaryMissing reports whether a home group has no valid primary.
+func (n *Node) primaryMissing() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, g := range n.groups {
@@ -165,7 +169,8 @@
 	return false
 }
 
-// primaryZone names the zone of a group's primary and since when it leads.
+// primaryZone returns the availability zone of a group's primary and when this
+// proxy learned of the primary.
 func (n *Node) primaryZone(name string) (rosemary.Zone, time.Time) {
 	g, found := n.Group(name)
 	if !found {
@@ -178,19 +183,19 @@
 	return view.PrimaryView.Zone, view.PrimarySince
 }
 
-// runContext is the context of Run, or one that has ended before and after.
+// runContext returns the context of Run, or a canceled one before Run.
 func (n *Node) runContext() context.Context {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.context != nil {
 		return n.context
 	}
-	ended, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	return ended
+	return canceled
 }
 
-// homeGroups names the groups that this proxy is a home of.
+// homeGroups returns the names of the groups that this proxy is a home of.
 func (n *Node) homeGroups() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -213,12 +218,12 @@
 	return names
 }
 
-// Open returns a session on a database.
+// Open returns a session on a database, or the reason for refusing it.
 func (n *Node) Open(database string) (*rosecaller.Session, *rosemary.Refusal) {
 	if _, found := n.Route(database); !found {
 		refusal := &rosemary.Refusal{
 			Kind: rosemary.KindUnknownDatabase, Outcome: rosemary.OutcomeNotRun,
-			Message: "there is no such database", Remedy: "look at the configuration in force",
+			Message: "there is no such database", Remedy: "check the database name and the configuration in force",
 		}
 		n.Refused(database, "", refusal, "", 0)
 		return nil, refusal
@@ -236,7 +241,7 @@
 	return route, found
 }
 
-// Group returns the targets of a group.
+// Group returns the group with that name.
 func (n *Node) Group(name string) (*rosefleet.Group, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -247,27 +252,27 @@
 	return g.Group, true
 }
 
-// defaultTransactionIdle holds before a configuration says otherwise.
-const defaultTransactionIdle = 10 * time.Second
+// defaultTransactionIdleTimeout applies unless the configuration sets another.
+const defaultTransactionIdleTimeout = 10 * time.Second
 
-// TransactionIdleTimeout is how long a transaction may rest.
+// TransactionIdleTimeout is how long a transaction may be idle.
 func (n *Node) TransactionIdleTimeout() time.Duration {
 	if c := n.configuration.Load(); c != nil && c.TransactionIdleTimeout > 0 {
 		return c.TransactionIdleTimeout
 	}
-	return defaultTransactionIdle
+	return defaultTransactionIdleTimeout
 }
 
-// Served counts and logs an answer.
+// Served counts and logs a successful answer.
 func (n *Node) Served(task rosecaller.Task, result rosecaller.Result, took time.Duration) {
-	n.metrics.served(task.Route.Class.Name, task.Statement.Kind, result.Primary, took)
+	n.metrics.observeStatement(task.Route.Class.Name, task.Statement.Kind, result.Primary, took)
 	klog.InfoS("request served", "request", task.Statement.ID, "database", task.Route.Database, "group", task.Route.Group,
 		"kind", task.Statement.Kind, "target", result.Target, "primary", result.Primary, "us", took.Microseconds())
 }
 
 // Refused counts and logs a refusal.
 func (n *Node) Refused(database, id string, refusal *rosemary.Refusal, target rosemary.TargetID, took time.Duration) {
-	n.metrics.refused(refusal)
+	n.metrics.countRefusal(refusal)
 	version := int64(0)
 	if c := n.configuration.Load(); c != nil {
 		version = c.Version
@@ -277,21 +282,21 @@
 		"target", target, "us", took.Microseconds(), "configuration", version, "retryAfterMs", refusal.RetryAfter.Milliseconds(), "message", refusal.Message)
 }
 
-// readyAfter is how long a proxy waits for every group's primary before it
-// takes callers without.
-const readyAfter = 4 * time.Second
+// maxPrimaryWait is how long after its start a proxy waits for the primaries of
+// its home groups before it accepts callers without them.
+const maxPrimaryWait = 4 * time.Second
 
-// Ready reports whether the proxy should get new callers.
+// Ready reports whether the balancer should send new callers to this proxy.
 func (n *Node) Ready() bool {
-	if n.draining.Load() || n.cut.Load() || n.configuration.Load() == nil {
+	if n.draining.Load() || n.zonePartitioned.Load() || n.configuration.Load() == nil {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.listed {
+	if !n.targetsLoaded {
 		return false
 	}
-	if time.Since(n.started) > readyAfter {
+	if time.Since(n.started) > maxPrimaryWait {
 		return true
 	}
 	for _, g := range n.groups {
@@ -302,20 +307,23 @@
 	return true
 }
 
-// BeginDrain takes the proxy out of the balancer's rotation.
+// BeginDrain makes the proxy not ready, so that the balancer sends new callers
+// elsewhere, and leaves the mesh of proxies.
 func (n *Node) BeginDrain() {
 	n.draining.Store(true)
 	n.mesh.Leave()
 }
 
-// SetDrain ends the transactions that other proxies have open here.
-func (n *Node) SetDrain(drain rosecaller.DrainDeadlines) { n.relays.SetDrain(drain) }
+// SetDrain sets the deadlines for tasks and transactions that other proxies
+// relay to this one.
+func (n *Node) SetDrain(drain rosecaller.DrainDeadlines) { n.relayServer.SetDrain(drain) }
 
-// WaitRelayed returns once nothing is under way here for other proxies, or ctx ends.
-func (n *Node) WaitRelayed(ctx context.Context) { n.relays.Wait(ctx) }
+// WaitRelayed blocks until no relayed task or transaction of other proxies is
+// left, or until ctx ends.
+func (n *Node) WaitRelayed(ctx context.Context) { n.relayServer.Wait(ctx) }
 
 // Metrics returns the node's metrics.
 func (n *Node) Metrics() *Metrics { return n.metrics }
 
-// Zone is the availability zone that the proxy runs in.
+// Zone returns the availability zone that the proxy runs in.
 func (n *Node) Zone() rosemary.Zone { return n.config.Self.Zone }
--- a/internal/rosenode/peers.go
+++ b/internal/rosenode/peers.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	// peerBeat separates heartbeats between proxies.
-	peerBeat = time.Second
-	// peerMesh is the number of proxies up to which all link to all.
-	peerMesh = 400
-	// peerTick separates looks at what is due for them.
-	peerTick = 100 * time.Millisecond
-	// peerHeaderTimeout bounds the start of a peer's connection.
+	peerHeartbeatInterval = time.Second
+	// peerFullMeshSize is the cluster size up to which every proxy links to
+	// every other.
+	peerFullMeshSize = 400
+	peerTickInterval = 100 * time.Millisecond
+	// peerHeaderTimeout bounds the time to receive a peer's request headers.
 	peerHeaderTimeout = 5 * time.Second
-	// learnInterval separates looks at the registered proxies.
-	learnInterval = time.Second
-	// pullAfter is how long the store has to bring a configuration that a
-	// peer has already.
-	pullAfter = 300 * time.Millisecond
-	// pullTimeout bounds one pull of it.
-	pullTimeout = time.Second
-	// reachTimeout bounds the check of a target for a peer.
-	reachTimeout = 250 * time.Millisecond
-	// complainTimeout bounds the delivery of a complaint.
-	complainTimeout = 200 * time.Millisecond
+	// membersInterval is how often the registered proxies are checked.
+	membersInterval = time.Second
+	// peerFetchDelay is how long a new configuration may take to arrive from the
+	// store before it is fetched from a peer that has it.
+	peerFetchDelay = 300 * time.Millisecond
+	// peerFetchTimeout bounds a fetch from a peer, including peerFetchDelay.
+	peerFetchTimeout = time.Second
+	// reachabilityTimeout bounds the check of a target for a peer.
+	reachabilityTimeout = 250 * time.Millisecond
+	// notifyTimeout bounds the delivery of a notification to all peers.
+	notifyTimeout = 200 * time.Millisecond
 )
 
-// peers asks the other proxies. It implements rosesupervisor.Peers and Voters.
+// peers queries the other proxies. It implements rosesupervisor.Peers and
+// rosesupervisor.Voters.
 type peers struct {
 	mesh *rosepeer.Mesh
 }
@@ -54,55 +54,58 @@
 		Node: rosepeer.NodeConfig{
 			Self:              n.config.Self,
 			Incarnation:       uint64(time.Now().UnixMilli()),
-			HeartbeatInterval: peerBeat,
-			FullMeshSize:      peerMesh,
+			HeartbeatInterval: peerHeartbeatInterval,
+			FullMeshSize:      peerFullMeshSize,
 		},
 		Dialer:              n.config.PeerDialer,
-		TickInterval:        peerTick,
-		OnEvent:             n.peerEvent,
+		TickInterval:        peerTickInterval,
+		OnEvent:             n.handlePeerEvent,
 		OnCancel:            func(_, _ uint32) {},
-		BundlePart:          n.provide,
+		BundlePart:          n.configurationText,
 		OnConnectionRequest: func(rosemary.ProxyID, rosewire.Ask) rosewire.Grant { return rosewire.Grant{} },
 		OnConnectionGrant:   func(rosewire.Grant) {},
-		OnQuestion:          n.answer,
+		OnQuestion:          n.answerQuestion,
 		AllowTunnel:         func(string) bool { return false },
 	})
 }
 
-// ServePeers accepts peers from listener until it is closed.
+// ServePeers serves other proxies on listener until it is closed.
 func (n *Node) ServePeers(listener net.Listener) error {
 	mux := http.NewServeMux()
 	mux.Handle("/", n.mesh.Handler())
-	mux.Handle("GET "+roserelay.Path, n.relays)
+	mux.Handle("GET "+roserelay.Path, n.relayServer)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: peerHeaderTimeout}
 	return server.Serve(listener)
 }
 
 const (
-	// cutInterval separates looks at whether this proxy is cut off.
-	cutInterval = 150 * time.Millisecond
-	// cutShare is the share of the targets that answers a proxy at most
-	// while its availability zone is cut off: those of one zone in three.
-	cutShare = 0.4
-	// cutSurveyTimeout bounds the wait for a proxy of another zone.
-	cutSurveyTimeout = 250 * time.Millisecond
+	// partitionCheckInterval is how often this proxy checks for a partition of
+	// its availability zone.
+	partitionCheckInterval = 150 * time.Millisecond
+	// maxPartitionReachable is the share of all targets up to which those that
+	// still answer may be the targets of a single availability zone, one of
+	// three.
+	maxPartitionReachable = 0.4
+	// partitionQueryTimeout bounds the wait for a proxy of another zone.
+	partitionQueryTimeout = 250 * time.Millisecond
 )
 
-// watchCut keeps watch on whether this proxy's availability zone is cut off
-// from the others: most targets are silent, and so is every proxy elsewhere.
-func (n *Node) watchCut(ctx context.Context) {
-	for roseclock.Sleep(ctx, cutInterval) {
-		cut := n.mostSilent() && !n.heardElsewhere(ctx)
-		if n.cut.Swap(cut) == cut {
+// watchZonePartition detects whether this proxy's availability zone is cut off
+// from the others: most targets don't answer, and no proxy of another zone does.
+func (n *Node) watchZonePartition(ctx context.Context) {
+	for roseclock.Sleep(ctx, partitionCheckInterval) {
+		partitioned := n.mostTargetsUnreachable() && !n.otherZonesReachable(ctx)
+		if n.zonePartitioned.Swap(partitioned) == partitioned {
 			continue
 		}
-		klog.InfoS("cut off changed", "cutOff", cut, "zone", n.config.Self.Zone)
-		n.config.OnZonePartitioned(cut)
+		klog.InfoS("cut off changed", "cutOff", partitioned, "zone", n.config.Self.Zone)
+		n.config.OnZonePartitioned(partitioned)
 	}
 }
 
-// mostSilent reports whether no more targets answer than one zone has.
-func (n *Node) mostSilent() bool {
+// mostTargetsUnreachable reports whether no more targets answer than a single
+// zone has.
+func (n *Node) mostTargetsUnreachable() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	targets, answering := 0, 0
@@ -111,22 +114,23 @@
 		targets += t
 		answering += a
 	}
-	return targets > 1 && float64(answering) <= cutShare*float64(targets)
+	return targets > 1 && float64(answering) <= maxPartitionReachable*float64(targets)
 }
 
-// heardElsewhere asks the proxies of other zones for a sign of life. Without
-// any there, nobody could serve callers better.
-func (n *Node) heardElsewhere(ctx context.Context) bool {
+// otherZonesReachable reports whether a proxy of another zone answers. It
+// returns true if no proxy is registered there, as then no other proxy could
+// serve this proxy's callers.
+func (n *Node) otherZonesReachable(ctx context.Context) bool {
 	zones := make(map[rosemary.ProxyID]rosemary.Zone)
-	elsewhere := false
-	for _, m := range n.duty.Members() {
+	otherZones := false
+	for _, m := range n.locks.Members() {
 		zones[m.Proxy] = m.Zone
-		elsewhere = elsewhere || m.Zone != n.config.Self.Zone
+		otherZones = otherZones || m.Zone != n.config.Self.Zone
 	}
-	if !elsewhere {
+	if !otherZones {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, cutSurveyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, partitionQueryTimeout)
 	defer cancel()
 	replies, _ := n.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutReachability})
 	for _, r := range replies {
@@ -137,41 +141,43 @@
 	return false
 }
 
-// followPeers tells the mesh of the registered proxies, and keeps watch on
-// whether this proxy is known to any of them.
-func (n *Node) followPeers(ctx context.Context) {
-	known := 0
-	for roseclock.Sleep(ctx, n.learnPause()) {
-		members := n.duty.Members()
+// followMembers passes the registered proxies to the mesh, and detects whether
+// this proxy is isolated.
+func (n *Node) followMembers(ctx context.Context) {
+	memberCount := 0
+	for roseclock.Sleep(ctx, n.membersPollInterval()) {
+		members := n.locks.Members()
 		n.mesh.AddMembers(members)
-		if len(members) != known {
-			// Others' shares of the links depend on how many there are.
-			known = len(members)
-			n.spread(false)
+		if len(members) != memberCount {
+			// The shares of the connections depend on the number of proxies.
+			memberCount = len(members)
+			n.updateGroups(false)
 		}
-		isolated := len(members) > 1 && !n.duty.Registered() && len(n.mesh.LinkedPeers()) == 0
+		isolated := len(members) > 1 && !n.locks.Registered() && len(n.mesh.LinkedPeers()) == 0
 		if n.isolated.Swap(isolated) != isolated {
 			klog.InfoS("isolation changed", "isolated", isolated, "members", len(members))
 		}
 	}
 }
 
-// learnPause separates looks at the registered proxies, which come quickly while
-// an installation starts.
-func (n *Node) learnPause() time.Duration {
-	if time.Since(n.started) < settleTime {
-		return learnInterval / 5
+// membersPollInterval returns the interval between checks of the registered
+// proxies. It is shorter at startup, when other proxies may be starting too.
+func (n *Node) membersPollInterval() time.Duration {
+	if time.Since(n.started) < startupTime {
+		return membersInterval / 5
 	}
-	return learnInterval
+	return membersInterval
 }
 
-// trusted reports whether this proxy may rely on a primary. One that neither
-// the store nor a peer has heard for the life of a lease may not: who replaces
-// a primary doesn't know of it any more, and can't tell it to stop.
-func (n *Node) trusted() bool { return !n.isolated.Load() }
+// allowPrimary reports whether this proxy may rely on a primary. A proxy whose
+// lease in the store has expired and that is linked to no peer may not: the
+// proxy that replaces a primary doesn't know of it, and can't tell it to stop
+// using the old one.
+func (n *Node) allowPrimary() bool { return !n.isolated.Load() }
 
-// provide returns the configuration in force to a peer.
-func (n *Node) provide(digest string) (string, bool) {
+// configurationText returns the text of the configuration in force, for a peer.
+// The digest is empty, as there are no other parts.
+func (n *Node) configurationText(digest string) (string, bool) {
 	c := n.configuration.Load()
 	if c == nil || digest != "" {
 		return "", false
@@ -179,27 +185,28 @@
 	return c.Text, true
 }
 
-// peerEvent acts on what a peer told.
-func (n *Node) peerEvent(event rosepeer.Event) {
+// handlePeerEvent handles a change reported by the mesh.
+func (n *Node) handlePeerEvent(event rosepeer.Event) {
 	switch {
 	case event.BundleVersion > 0:
-		n.pull(event.From, int64(event.BundleVersion))
+		n.fetchFromPeer(event.From, int64(event.BundleVersion))
 	case event.Member.Proxy != "":
 		klog.InfoS("peer changed", "peer", event.Member.Proxy, "zone", event.Member.Zone, "state", event.State.String())
 	}
 }
 
-// pull gets a configuration from a peer if the store doesn't bring it.
-func (n *Node) pull(from rosemary.ProxyID, version int64) {
-	if !n.pulling.CompareAndSwap(false, true) {
+// fetchFromPeer fetches a configuration from a peer unless it arrives from the
+// store first.
+func (n *Node) fetchFromPeer(from rosemary.ProxyID, version int64) {
+	if !n.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	n.tasks.Go(func() {
-		defer n.pulling.Store(false)
-		ctx, cancel := context.WithTimeout(n.runContext(), pullTimeout)
+		defer n.fetching.Store(false)
+		ctx, cancel := context.WithTimeout(n.runContext(), peerFetchTimeout)
 		defer cancel()
-		roseclock.Sleep(ctx, pullAfter)
-		if present := n.configuration.Load(); present != nil && present.Version >= version {
+		roseclock.Sleep(ctx, peerFetchDelay)
+		if current := n.configuration.Load(); current != nil && current.Version >= version {
 			return
 		}
 		text, err := n.mesh.FetchPart(ctx, from, "")
@@ -215,26 +222,26 @@
 	})
 }
 
-// answer replies to a peer's question.
-func (n *Node) answer(from rosemary.ProxyID, question rosewire.Question) rosewire.Reply {
+// answerQuestion replies to a peer's question.
+func (n *Node) answerQuestion(from rosemary.ProxyID, question rosewire.Question) rosewire.Reply {
 	switch question.About {
 	case rosepeer.AboutAbstain:
-		yes := n.duty.Abstain()
+		yes := n.locks.Abstain()
 		return rosewire.Reply{Yes: yes, Known: true}
 	case rosepeer.AboutTargetStatuses:
-		return rosewire.Reply{Yes: true, Known: true, Facts: n.facts()}
+		return rosewire.Reply{Yes: true, Known: true, Facts: n.recentStatuses()}
 	}
 	n.mu.Lock()
 	g := n.groups[question.Group]
 	n.mu.Unlock()
 	if g == nil {
-		// What isn't known here isn't relied on.
+		// The primary of an unknown group isn't in use here.
 		return rosewire.Reply{Yes: question.About == rosepeer.AboutPrimaryRevoked}
 	}
 	target := rosemary.TargetID(question.Target)
 	switch question.About {
 	case rosepeer.AboutReachability:
-		ctx, cancel := context.WithTimeout(n.runContext(), reachTimeout)
+		ctx, cancel := context.WithTimeout(n.runContext(), reachabilityTimeout)
 		defer cancel()
 		yes, known := g.CheckReachable(ctx, target)
 		return rosewire.Reply{Yes: yes, Known: known}
@@ -251,14 +258,15 @@
 	return rosewire.Reply{}
 }
 
-// Abstain asks all not to claim duties, and returns those that promised.
+// Abstain asks all not to claim failover locks for a while, and returns those
+// that promised it.
 func (p peers) RequestAbstention(ctx context.Context) []rosemary.ProxyID {
 	replies, _ := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutAbstain})
-	return agreeing(replies)
+	return agreedPeers(replies)
 }
 
-// Reach counts the proxies that replied, those that reach a target, and those
-// that don't.
+// PollReachability counts the proxies that replied, those that reach a target,
+// and those that don't.
 func (p peers) PollReachability(ctx context.Context, group string, target rosemary.TargetID) (replied, reach, miss int) {
 	replies, _ := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutReachability, Group: group, Target: string(target)})
 	for _, r := range replies {
@@ -272,29 +280,31 @@
 	return len(replies), reach, miss
 }
 
-// Stop has all give up relying on the primary of term.
+// StopUsingPrimary asks all to stop using the primary of term, and returns
+// those that have.
 func (p peers) RevokePrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID) {
 	replies, asked := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutPrimaryRevoked, Group: group, Term: term})
-	return agreeing(replies), asked
+	return agreedPeers(replies), asked
 }
 
-// Suspect tells all that the target has just not answered this proxy.
+// Suspect tells all that the target has just failed to answer this proxy, so
+// that they sample it at once.
 func (p peers) Suspect(ctx context.Context, group string, target rosemary.TargetID) {
-	p.tell(ctx, rosepeer.AboutPrimarySuspected, group, target)
+	p.notifyAll(ctx, rosepeer.AboutPrimarySuspected, group, target)
 }
 
-// Complain tells all that this proxy can't reach the target.
+// ReportUnreachable tells all that this proxy can't reach the target.
 func (p peers) ReportUnreachable(ctx context.Context, group string, target rosemary.TargetID) {
-	p.tell(ctx, rosepeer.AboutPrimaryUnreachable, group, target)
+	p.notifyAll(ctx, rosepeer.AboutPrimaryUnreachable, group, target)
 }
 
-func (p peers) tell(ctx context.Context, about, group string, target rosemary.TargetID) {
-	ctx, cancel := context.WithTimeout(ctx, complainTimeout)
+func (p peers) notifyAll(ctx context.Context, about, group string, target rosemary.TargetID) {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	p.mesh.QueryAll(ctx, rosewire.Question{About: about, Group: group, Target: string(target)})
 }
 
-func agreeing(replies []rosepeer.PeerReply) []rosemary.ProxyID {
+func agreedPeers(replies []rosepeer.PeerReply) []rosemary.ProxyID {
 	var ids []rosemary.ProxyID
 	for _, r := range replies {
 		if r.Yes {
--- a/internal/rosenode/placement.go
+++ b/internal/rosenode/placement.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// maxHomes bounds the homes that one statement is passed on to.
-	maxHomes = 3
-	// visitTime is how long a proxy keeps the targets of a group that it
-	// served without being its home.
-	visitTime = 10 * time.Second
+	// maxRelayAttempts bounds the home proxies that a task is relayed to.
+	maxRelayAttempts = 3
+	// temporaryServeTime is how long a proxy keeps the targets of a group after
+	// it has run a task without being the group's home.
+	temporaryServeTime = 10 * time.Second
 )
 
-// placement runs tasks on this proxy's own links if it is a home of their
-// group, and at a home otherwise.
+// placement runs tasks on this proxy's own connections if it is a home of their
+// group, and relays them to a home proxy otherwise. If no home proxy can be
+// reached, it runs them itself.
 type placement struct {
 	node *Node
 }
@@ -31,12 +32,12 @@
 // Run runs a statement outside a transaction.
 func (p placement) Run(ctx context.Context, task rosecaller.Task) rosecaller.Result {
 	var last *rosecaller.Result
-	for _, home := range p.homes(task) {
-		result, delivery := p.node.homes.Run(ctx, home, task)
+	for _, home := range p.relayHomes(task) {
+		result, delivery := p.node.relayClient.Run(ctx, home, task)
 		if delivery == roserelay.Unanswered {
 			result = rosecaller.ConnectionLostResult(task, result.Target, false, false)
 		}
-		if delivery != roserelay.NotSent && !p.elsewhere(ctx, task, home, result) {
+		if delivery != roserelay.NotSent && !p.mayRetryElsewhere(ctx, task, home, result) {
 			return result
 		}
 		if delivery != roserelay.NotSent {
@@ -46,18 +47,18 @@
 	if last != nil {
 		return *last
 	}
-	return here{p.node}.Run(ctx, task)
+	return localExecutor{p.node}.Run(ctx, task)
 }
 
 // Begin opens a transaction with its first statement.
 func (p placement) Begin(ctx context.Context, task rosecaller.Task) (rosecaller.Transaction, rosecaller.Result) {
 	var last *rosecaller.Result
-	for _, home := range p.homes(task) {
-		transaction, result, delivery := p.node.homes.Begin(ctx, home, task)
+	for _, home := range p.relayHomes(task) {
+		transaction, result, delivery := p.node.relayClient.Begin(ctx, home, task)
 		if delivery == roserelay.Unanswered {
 			result = rosecaller.ConnectionLostResult(task, result.Target, true, false)
 		}
-		if transaction != nil || delivery != roserelay.NotSent && !p.elsewhere(ctx, task, home, result) {
+		if transaction != nil || delivery != roserelay.NotSent && !p.mayRetryElsewhere(ctx, task, home, result) {
 			return transaction, result
 		}
 		if delivery != roserelay.NotSent {
@@ -67,12 +68,13 @@
 	if last != nil {
 		return nil, *last
 	}
-	return here{p.node}.Begin(ctx, task)
+	return localExecutor{p.node}.Begin(ctx, task)
 }
 
-// elsewhere reports whether a task that a home has answered may be passed on
-// to another: nothing of it is kept, and there is time left.
-func (p placement) elsewhere(ctx context.Context, task rosecaller.Task, home rosemary.Member, result rosecaller.Result) bool {
+// mayRetryElsewhere reports whether a task that a home proxy has refused may be
+// relayed to another one: it left no lasting effect, and the deadline and the
+// retry budget allow it.
+func (p placement) mayRetryElsewhere(ctx context.Context, task rosecaller.Task, home rosemary.Member, result rosecaller.Result) bool {
 	refusal := result.Refusal
 	if refusal == nil || ctx.Err() != nil || !time.Now().Before(task.Deadline) {
 		return false
@@ -86,49 +88,52 @@
 	return true
 }
 
-// here runs tasks on this proxy's own links. One that is no home of a task's
-// group, or doesn't know yet that it is, gets the group's targets for a while.
-type here struct {
+// localExecutor runs tasks on this proxy's own connections. If the proxy isn't a
+// home of the task's group, or doesn't know yet that it is, it serves the group
+// temporarily.
+type localExecutor struct {
 	node *Node
 }
 
-var _ rosecaller.Executor = here{}
+var _ rosecaller.Executor = localExecutor{}
 
 // Run runs a statement outside a transaction.
-func (h here) Run(ctx context.Context, task rosecaller.Task) rosecaller.Result {
-	h.node.visit(task.Route.Group)
-	return h.node.carrier.Run(ctx, task)
+func (l localExecutor) Run(ctx context.Context, task rosecaller.Task) rosecaller.Result {
+	l.node.serveTemporarily(task.Route.Group)
+	return l.node.executor.Run(ctx, task)
 }
 
 // Begin opens a transaction with its first statement.
-func (h here) Begin(ctx context.Context, task rosecaller.Task) (rosecaller.Transaction, rosecaller.Result) {
-	h.node.visit(task.Route.Group)
-	return h.node.carrier.Begin(ctx, task)
+func (l localExecutor) Begin(ctx context.Context, task rosecaller.Task) (rosecaller.Transaction, rosecaller.Result) {
+	l.node.serveTemporarily(task.Route.Group)
+	return l.node.executor.Begin(ctx, task)
 }
 
-// visit keeps the targets of a group that has its homes elsewhere. What this
-// proxy knows of them may be old, so the first visit has them read anew.
-func (n *Node) visit(name string) {
+// serveTemporarily keeps the targets of a group whose homes are other proxies.
+// The targets known here may be outdated, so they are read again unless the
+// group was already being served.
+func (n *Node) serveTemporarily(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	g := n.groups[name]
 	if g == nil || g.home {
 		return
 	}
-	first := !g.visited()
-	g.visitedTill = time.Now().Add(visitTime)
+	first := !g.servedTemporarily()
+	g.temporaryUntil = time.Now().Add(temporaryServeTime)
 	if !first {
 		return
 	}
 	klog.InfoS("group served without being its home", "group", name)
 	select {
-	case n.readTargets <- struct{}{}:
+	case n.readTargetsNow <- struct{}{}:
 	default:
 	}
 }
 
-// homes returns the proxies that a task is passed on to.
-func (p placement) homes(task rosecaller.Task) []rosemary.Member {
+// relayHomes returns the home proxies to relay a task to, and adds to the retry
+// budget if there are any.
+func (p placement) relayHomes(task rosecaller.Task) []rosemary.Member {
 	homes := p.node.RelayHomes(task.Route.Group)
 	if len(homes) > 0 {
 		p.node.budget.Deposit()
@@ -136,35 +141,35 @@
 	return homes
 }
 
-// RelayHomes returns the proxies that tasks of a group are passed on to, none if
-// they are run here: those of this proxy's zone first.
+// RelayHomes returns the live home proxies that tasks of a group are relayed to,
+// those of this proxy's zone first. It returns none if this proxy is a home.
 func (n *Node) RelayHomes(group string) []rosemary.Member {
 	c := n.configuration.Load()
 	if c == nil {
 		return nil
 	}
-	all := n.homesOf(group, c)
-	if isHome(n.config.Self.Proxy, all) {
+	homes := n.homesForGroup(group, c)
+	if isHome(n.config.Self.Proxy, homes) {
 		return nil
 	}
 	live := make(map[rosemary.ProxyID]bool)
 	for _, m := range n.mesh.LiveMembers() {
 		live[m.Proxy] = true
 	}
-	var near, far []rosemary.Member
-	for _, m := range all {
+	var sameZone, otherZones []rosemary.Member
+	for _, m := range homes {
 		switch {
 		case !live[m.Proxy]:
 		case m.Zone == n.config.Self.Zone:
-			near = append(near, m)
+			sameZone = append(sameZone, m)
 		default:
-			far = append(far, m)
+			otherZones = append(otherZones, m)
 		}
 	}
-	shuffle(near)
-	shuffle(far)
-	ordered := append(near, far...)
-	return ordered[:min(len(ordered), maxHomes)]
+	shuffle(sameZone)
+	shuffle(otherZones)
+	ordered := append(sameZone, otherZones...)
+	return ordered[:min(len(ordered), maxRelayAttempts)]
 }
 
 func shuffle(members []rosemary.Member) {
