--- a/internal/rosesettings/settings.go
+++ b/internal/rosesettings/settings.go
@@ -1,6 +1,6 @@
-// Package rosesettings reads the settings of one rosemaryd process: what is
-// its own, such as addresses, zone and keys. Everything that the proxies have
-// in common is in the bundle.
+// Package rosesettings reads the settings of a rosemaryd process, such as its
+// addresses, zone and keys. Configuration that all proxies share is in the
+// bundle.
 package rosesettings
 
 import (
@@ -21,9 +21,9 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesession"
 )
 
-// Settings are those of one process.
+// Settings holds the settings of a process that is configured by a bundle.
 type Settings struct {
-	// Name identifies the proxy; the VM list uses it too.
+	// Name identifies the proxy, and is its name in the VM list.
 	Name string
 	// Zone is the availability zone that the VM is in.
 	Zone string
@@ -34,75 +34,76 @@
 	Peers   Peers
 	Store   Store
 	Targets Targets
-	// TokenKeys sign session tokens, base64; the first signs, all verify.
-	// They are the same on every proxy.
+	// TokenKeys are the keys for session tokens, in base64. The first signs, and
+	// all verify. They must be the same on every proxy.
 	TokenKeys []string
-	// Operators are the keys that a first bundle must be signed with.
+	// Operators lists the public keys that sign the first bundle.
 	Operators []rosebundle.Operator
-	// Signatures is the number of them that must have signed.
+	// Signatures is the number of operators that must have signed it.
 	Signatures int
 	Limits     Limits
 }
 
-// Listen holds the addresses that the process serves.
+// Listen holds the addresses that the process listens on.
 type Listen struct {
-	// Callers is where applications connect.
+	// Callers is for applications.
 	Callers string
-	// Peers is where other proxies connect.
+	// Peers is for other proxies.
 	Peers string
-	// Admin serves health, metrics and operators' requests.
+	// Admin is for health checks, metrics and operators' requests.
 	Admin string
 }
 
-// TLS holds the certificates for callers.
+// TLS configures encryption of callers' connections.
 type TLS struct {
 	Certificate string
 	Key         string
-	// Required refuses callers without encryption.
+	// Required makes the proxy refuse unencrypted connections.
 	Required bool
 }
 
-// Peers holds how proxies know and trust each other.
+// Peers configures connections between proxies.
 type Peers struct {
-	// Address is where peers reach this proxy; Listen.Peers if empty.
+	// Address is where peers connect to this proxy; Listen.Peers if empty.
 	Address string
-	// Certificate, Key and Authority authenticate proxies to each other.
+	// Certificate, Key and Authority are the files for mutual TLS between
+	// proxies.
 	Certificate string
 	Key         string
 	Authority   string
-	// Seeds are peers known from the start, beside the VM list.
+	// Seeds are peers to connect to in addition to those in the VM list.
 	Seeds []Seed
 }
 
-// Seed is a peer known from settings.
+// Seed is a peer that is listed in the settings.
 type Seed struct {
 	Name    string
 	Zone    string
 	Address string
 }
 
-// Store is where the platform's services are.
+// Store configures access to the platform's store and VM list.
 type Store struct {
 	Address string
 	// Prefix is put before every key.
 	Prefix string
 }
 
-// Targets holds how the proxy logs in at targets.
+// Targets holds the credentials of the proxy at targets.
 type Targets struct {
 	User     string
 	Password string
 }
 
-// Limits bound what the process takes on.
+// Limits bounds the work of the process.
 type Limits struct {
-	// Callers is the number of callers served at once.
+	// Callers is the maximum number of concurrent callers.
 	Callers int
 	// DrainTime bounds a graceful shutdown.
 	DrainTime rosebundle.Duration
 }
 
-// Default returns the settings that a file starts from.
+// Default returns the settings that apply where a file sets none.
 func Default() Settings {
 	return Settings{
 		Proxies: 1,
@@ -113,7 +114,8 @@
 }
 
 // Load reads and checks a settings file. The error is a
-// *rosebundle.FaultsError that lists every fault, or that of the file.
+// *rosebundle.ValidationError that lists every fault, or the error from reading
+// the file.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -144,11 +146,11 @@
 	return s, nil
 }
 
-// Check returns every fault of the settings.
+// Check returns all faults of the settings.
 func (s Settings) Check() []rosebundle.Fault {
 	var faults []rosebundle.Fault
-	add := func(wrong bool, key, problem, remedy string) {
-		if wrong {
+	add := func(invalid bool, key, problem, remedy string) {
+		if invalid {
 			faults = append(faults, rosebundle.Fault{Key: key, Problem: problem, Remedy: remedy})
 		}
 	}
@@ -171,25 +173,25 @@
 	add(err != nil, "TokenKeys", fmt.Sprint(trace.UserMessage(err)), "make one with rosemary secret, the same for all proxies")
 	add((s.TLS.Certificate == "") != (s.TLS.Key == ""), "TLS", "only one of Certificate and Key is set", "set both or neither")
 	add(s.TLS.Required && s.TLS.Certificate == "", "TLS.Required", "there is no certificate", "set Certificate and Key")
-	parts := 0
+	files := 0
 	for _, file := range []string{s.Peers.Certificate, s.Peers.Key, s.Peers.Authority} {
 		if file != "" {
-			parts++
+			files++
 		}
 	}
-	add(parts != 0 && parts != 3, "Peers", "only some of Certificate, Key and Authority are set", "set all three or none")
+	add(files != 0 && files != 3, "Peers", "only some of Certificate, Key and Authority are set", "set all three or none")
 	add(len(s.Operators) == 0, "Operators", "no operator's key is there", "list the keys that sign the first bundle")
 	for i, o := range s.Operators {
 		_, err := o.Key()
-		add(err != nil, fmt.Sprintf("Operators[%d].PublicKey", i), "it is no Ed25519 public key in base64", "paste the line that rosemary bundle key prints")
+		add(err != nil, fmt.Sprintf("Operators[%d].PublicKey", i), "it is not an Ed25519 public key in base64", "paste the line that rosemary bundle key prints")
 	}
 	add(len(s.Operators) > 0 && (s.Signatures < 1 || s.Signatures > len(s.Operators)), "Signatures",
-		fmt.Sprintf("%d signatures of %d operators", s.Signatures, len(s.Operators)), "set it between 1 and the number of operators")
+		fmt.Sprintf("%d signatures are required of %d operators", s.Signatures, len(s.Operators)), "set it between 1 and the number of operators")
 	add(s.Limits.Callers < 1, "Limits.Callers", "it is less than 1", "set it to the number of callers that the VM can hold")
 	return faults
 }
 
-// Keys returns the keys that sign session tokens.
+// Keys returns the keys for session tokens.
 func (s Settings) Keys() (*rosesession.Keys, error) {
 	var keys [][]byte
 	for _, text := range s.TokenKeys {
@@ -202,27 +204,28 @@
 	return rosesession.NewKeys(keys...)
 }
 
-// CallerTLS returns the configuration for callers, nil without certificate.
+// CallerTLS returns the TLS configuration for callers, or nil if no certificate
+// is set.
 func (s Settings) CallerTLS() (*tls.Config, error) {
 	if s.TLS.Certificate == "" {
 		return nil, nil
 	}
-	pair, err := tls.LoadX509KeyPair(s.TLS.Certificate, s.TLS.Key)
+	certificate, err := tls.LoadX509KeyPair(s.TLS.Certificate, s.TLS.Key)
 	if err != nil {
-		return nil, trace.BadParameter("TLS: the certificate can't be used: %v", err)
+		return nil, trace.BadParameter("TLS: can't load Certificate and Key: %v", err)
 	}
-	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
+	return &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// PeerTLS returns the configuration for both ends of a peer's connection, nil
-// without certificates.
+// PeerTLS returns the TLS configuration for both ends of connections between
+// proxies, or nil if no certificate is set.
 func (s Settings) PeerTLS() (*tls.Config, error) {
 	if s.Peers.Certificate == "" {
 		return nil, nil
 	}
-	pair, err := tls.LoadX509KeyPair(s.Peers.Certificate, s.Peers.Key)
+	certificate, err := tls.LoadX509KeyPair(s.Peers.Certificate, s.Peers.Key)
 	if err != nil {
-		return nil, trace.BadParameter("Peers: the certificate can't be used: %v", err)
+		return nil, trace.BadParameter("Peers: can't load Certificate and Key: %v", err)
 	}
 	authority, err := os.ReadFile(s.Peers.Authority)
 	if err != nil {
@@ -230,10 +233,10 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return nil, trace.BadParameter("Peers.Authority: the file holds no certificate")
+		return nil, trace.BadParameter("Peers.Authority: the file contains no valid PEM certificate")
 	}
 	return &tls.Config{
-		Certificates: []tls.Certificate{pair},
+		Certificates: []tls.Certificate{certificate},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    pool,
 		RootCAs:      pool,
@@ -241,7 +244,7 @@
 	}, nil
 }
 
-// SeedMembers returns the peers that the settings name.
+// SeedMembers returns the seeds as members.
 func (s Settings) SeedMembers() []rosemary.Member {
 	var members []rosemary.Member
 	for _, seed := range s.Peers.Seeds {
--- a/internal/rosesettings/settings_test.go
+++ b/internal/rosesettings/settings_test.go
@@ -14,10 +14,10 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares lines with a golden file.
-func golden(c *qt.C, name, got string) {
+// checkGolden compares got with a golden file.
+func checkGolden(c *qt.C, name, got string) {
 	path := filepath.Join("testdata", name)
 	if *update {
 		c.Assert(os.WriteFile(path, []byte(got), 0o644), qt.IsNil)
@@ -35,10 +35,10 @@
 	c.Assert(err, qt.IsNotNil)
 	lines := strings.Split(err.Error(), "\n")
 	slices.Sort(lines)
-	golden(c, "faulty.golden", strings.Join(lines, "\n")+"\n")
+	checkGolden(c, "faulty.golden", strings.Join(lines, "\n")+"\n")
 }
 
-func TestSamplesAreInOrder(t *testing.T) {
+func TestSampleFilesAreValid(t *testing.T) {
 	c := qt.New(t)
 	_, err := rosesettings.Load("../../doc/rosemaryd.sample.toml")
 	c.Check(err, qt.IsNil)
--- a/internal/rosesettings/vm.go
+++ b/internal/rosesettings/vm.go
@@ -12,58 +12,59 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-// VMSettings holds the settings of a process whose targets and configuration are in
-// the platform's store.
+// VMSettings holds the settings of a process whose targets and configuration are
+// in the platform's store.
 type VMSettings struct {
 	// Name identifies the proxy.
 	Name string
 	// Zone is the availability zone that the VM is in.
 	Zone   string
 	Region string
-	// Seeds are admin addresses of some proxies; they may be stale.
+	// Seeds are the admin addresses of some proxies; they may be outdated.
 	Seeds  []string
 	Listen VMListen
 	Store  Address
-	// Promoter takes the orders that replace a primary.
+	// Promoter is the service that replaces a primary on request.
 	Promoter Address
 	Limits   VMLimits
 }
 
-// VMListen holds the addresses that the process serves.
+// VMListen holds the addresses that the process listens on.
 type VMListen struct {
-	// Callers is where applications connect.
+	// Callers is for applications.
 	Callers string
-	// Ready answers the balancer.
+	// Ready is for the readiness checks of the balancer.
 	Ready string
-	// Admin serves metrics and operators' requests.
+	// Admin is for metrics and operators' requests.
 	Admin string
-	// Peers is where other proxies connect.
+	// Peers is for other proxies.
 	Peers string
 }
 
-// Address is where a service of the platform is.
+// Address locates a service of the platform.
 type Address struct {
 	Address string
 }
 
-// VMLimits bound what the process takes on.
+// VMLimits describes the resources of the process.
 type VMLimits struct {
-	// CoreShare is the part of a core that the process has; it weighs the
-	// share of work that the VM takes on for others.
+	// CoreShare is the share of a CPU core that the process has. The proxy's
+	// weight in the choice of home proxies is proportional to it.
 	CoreShare float64
-	// MemoryMb is the memory of the process, in MiB.
+	// MemoryMb is the memory that the process may use, in MiB.
 	MemoryMb int
-	// Descriptors is the number of files and sockets it may open.
+	// Descriptors is the number of file descriptors that it may open.
 	Descriptors int
 	// GraceTime is how long a shutdown may take.
 	GraceTime rosebundle.Duration
 }
 
-// defaultGrace is the time that a shutdown may take where nothing is said.
-const defaultGrace = rosebundle.Duration(6 * time.Second)
+// defaultGraceTime is the GraceTime that applies if the file sets none.
+const defaultGraceTime = rosebundle.Duration(6 * time.Second)
 
 // LoadVM reads and checks a settings file. The error is a
-// *rosebundle.FaultsError that lists every fault, or that of the file.
+// *rosebundle.ValidationError that lists every fault, or the error from reading
+// the file.
 func LoadVM(path string) (VMSettings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,9 +74,9 @@
 }
 
 // ParseVM reads and checks the text of a settings file. Unknown keys are
-// passed over: the platform's template may be newer than the program.
+// ignored, as the platform's template may be newer than this program.
 func ParseVM(text string) (VMSettings, error) {
-	v := VMSettings{Limits: VMLimits{GraceTime: defaultGrace}}
+	v := VMSettings{Limits: VMLimits{GraceTime: defaultGraceTime}}
 	if _, err := toml.Decode(text, &v); err != nil {
 		return v, &rosebundle.ValidationError{Faults: []rosebundle.Fault{
 			{Key: "(file)", Problem: err.Error(), Remedy: "correct the TOML"},
@@ -87,11 +88,11 @@
 	return v, nil
 }
 
-// Check returns every fault of the settings.
+// Check returns all faults of the settings.
 func (v VMSettings) Check() []rosebundle.Fault {
 	var faults []rosebundle.Fault
-	add := func(wrong bool, key, problem, remedy string) {
-		if wrong {
+	add := func(invalid bool, key, problem, remedy string) {
+		if invalid {
 			faults = append(faults, rosebundle.Fault{Key: key, Problem: problem, Remedy: remedy})
 		}
 	}
@@ -109,7 +110,7 @@
 		_, _, err := net.SplitHostPort(a.address)
 		add(err != nil, a.key, fmt.Sprintf("%q is no host:port", a.address), "give an IP number and a port")
 	}
-	add(v.Limits.CoreShare < 0, "Limits.CoreShare", "it is negative", "set it to the part of a core, or 0")
+	add(v.Limits.CoreShare < 0, "Limits.CoreShare", "it is negative", "set it to the share of a core that the process has, or 0")
 	add(v.Limits.MemoryMb < 0, "Limits.MemoryMb", "it is negative", "set it to the memory of the process in MiB, or 0")
 	add(v.Limits.GraceTime <= 0, "Limits.GraceTime", "it is not positive", "set it to the time between SIGTERM and SIGKILL")
 	return faults
