--- a/internal/rosefront/answer.go
+++ b/internal/rosefront/answer.go
@@ -7,26 +7,29 @@
 )
 
 const (
-	// streamAfter is the size at which an answer starts to be passed on.
-	streamAfter = 64 << 10
-	// maxHeldBytes bounds an answer that is held for its confirmation.
-	maxHeldBytes = 16 << 20
+	// streamThreshold is the buffered size at which an answer is sent before it
+	// is complete.
+	streamThreshold = 64 << 10
+	// maxBufferedBytes bounds an answer that waits for the confirmation of its
+	// write.
+	maxBufferedBytes = 16 << 20
 )
 
-// answer collects what is sent to a caller. It holds back what would tell
-// that a write succeeded until the write is confirmed, and everything while
-// the request may still be run again.
+// answer buffers the messages for a client. The completion of a write is
+// withheld until the write is confirmed. Nothing is sent below streamThreshold,
+// because a request can't be retried once a part of its answer was sent.
 type answer struct {
-	caller *caller
+	client *client
 	bytes  []byte
-	// hold keeps everything from the first CommandComplete on.
-	hold     bool
-	complete bool
-	streamed bool
-	err      error
+	// holdCompletion withholds the messages from the first CommandComplete or
+	// ErrorResponse on.
+	holdCompletion bool
+	completionHeld bool
+	streamed       bool
+	err            error
 }
 
-// send encodes a message for the caller.
+// send appends a message.
 func (a *answer) send(message pgproto3.BackendMessage) {
 	encoded, err := message.Encode(a.bytes)
 	if err != nil {
@@ -36,33 +39,34 @@
 	a.bytes = encoded
 	switch message.(type) {
 	case *pgproto3.CommandComplete, *pgproto3.ErrorResponse:
-		a.complete = a.hold
+		a.completionHeld = a.holdCompletion
 	}
-	if len(a.bytes) > streamAfter && !a.complete {
+	if len(a.bytes) > streamThreshold && !a.completionHeld {
 		a.flush()
 	}
-	if len(a.bytes) > maxHeldBytes {
+	if len(a.bytes) > maxBufferedBytes {
 		a.err = errAnswerTooLarge
 	}
 }
 
-// reset forgets what wasn't passed on yet.
+// reset discards the messages that were not sent.
 func (a *answer) reset() {
 	a.bytes = a.bytes[:0]
-	a.complete = false
+	a.completionHeld = false
 }
 
 func (a *answer) flush() {
 	if len(a.bytes) == 0 || a.err != nil {
 		return
 	}
-	_ = a.caller.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	_, a.err = a.caller.conn.Write(a.bytes)
+	_ = a.client.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, a.err = a.client.conn.Write(a.bytes)
 	a.streamed = true
 	a.reset()
 }
 
-// finish passes on the rest. The error is that of the caller's connection.
+// finish sends the remaining messages. The error may be that of the client's
+// connection.
 func (a *answer) finish() error {
 	a.flush()
 	return a.err
--- a/internal/rosefront/authenticate.go
+++ b/internal/rosefront/authenticate.go
@@ -13,19 +13,19 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// scramMechanism is the only password exchange offered.
+// scramMechanism is the only SASL mechanism offered.
 const scramMechanism = "SCRAM-SHA-256"
 
-// scramIterations is the cost of new verifiers and of answers for unknown
-// tenants.
+// scramIterations is the iteration count of new verifiers and of the exchange
+// with unknown tenants, and the minimum accepted.
 const scramIterations = 4096
 
-// NewVerifier returns the SCRAM-SHA-256 verifier of a password, in the form
-// that PostgreSQL stores.
+// NewVerifier returns the SCRAM-SHA-256 verifier of a password in PostgreSQL's
+// storage format.
 func NewVerifier(password string) (string, error) {
 	client, err := scram.SHA256.NewClient("", password, "")
 	if err != nil {
-		return "", trace.BadParameter("the password can't be prepared: %v", err)
+		return "", trace.BadParameter("the password is not valid for SCRAM: %v", err)
 	}
 	salt := make([]byte, 16)
 	_, _ = rand.Read(salt)
@@ -38,20 +38,20 @@
 		encode(stored.StoredKey) + ":" + encode(stored.ServerKey), nil
 }
 
-// parseVerifier reads the form that NewVerifier writes.
+// parseVerifier parses the format that NewVerifier returns.
 func parseVerifier(text string) (scram.StoredCredentials, error) {
 	parts := strings.FieldsFunc(text, func(r rune) bool { return r == '$' || r == ':' })
 	if len(parts) != 5 || parts[0] != scramMechanism {
-		return scram.StoredCredentials{}, trace.BadParameter("not a SCRAM-SHA-256 verifier; make one with rosemary verifier")
+		return scram.StoredCredentials{}, trace.BadParameter("not a SCRAM-SHA-256 verifier; create one with rosemary verifier")
 	}
 	iterations, err := strconv.Atoi(parts[1])
 	if err != nil || iterations < scramIterations {
-		return scram.StoredCredentials{}, trace.BadParameter("verifier has too few iterations; make one with rosemary verifier")
+		return scram.StoredCredentials{}, trace.BadParameter("the iteration count of the verifier is invalid or too low; create one with rosemary verifier")
 	}
 	var fields [3][]byte
 	for i, p := range parts[2:] {
 		if fields[i], err = base64.StdEncoding.DecodeString(p); err != nil {
-			return scram.StoredCredentials{}, trace.BadParameter("verifier is not base64; make one with rosemary verifier")
+			return scram.StoredCredentials{}, trace.BadParameter("the verifier is not valid base64; create one with rosemary verifier")
 		}
 	}
 	return scram.StoredCredentials{
@@ -61,13 +61,14 @@
 	}, nil
 }
 
-// CheckVerifier returns a trace.BadParameter for a verifier that can't be used.
+// CheckVerifier returns a trace.BadParameter for an invalid verifier.
 func CheckVerifier(text string) error {
 	_, err := parseVerifier(text)
 	return err
 }
 
-// authenticate returns the tenant that the caller proved to be.
+// authenticate returns the tenant named user. A tenant without a verifier needs
+// no password.
 func (s *Server) authenticate(backend *pgproto3.Backend, user string) (rosemary.Tenant, error) {
 	tenant, found := s.config.Directory.Tenant(user)
 	if found && tenant.Verifier == "" {
@@ -80,12 +81,12 @@
 	return tenant, nil
 }
 
-// verify runs the SCRAM exchange. An unknown tenant gets the same exchange,
-// so that names can't be told from it.
+// verify runs the SCRAM exchange. An unknown tenant gets the same exchange, so
+// that clients can't probe for tenant names.
 func (s *Server) verify(backend *pgproto3.Backend, tenant rosemary.Tenant, found bool) error {
 	stored, err := parseVerifier(tenant.Verifier)
 	if !found || err != nil {
-		stored = unknownCredentials()
+		stored = randomCredentials()
 	}
 	server, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) { return stored, nil })
 	if err != nil {
@@ -99,10 +100,9 @@
 	return exchange(backend, pgproto3.AuthTypeSASLContinue, conversation)
 }
 
-// exchange sends what is pending, takes the caller's next message and answers
-// it.
-func exchange(backend *pgproto3.Backend, kind uint32, conversation *scram.ServerConversation) error {
-	if err := backend.SetAuthType(kind); err != nil {
+// exchange flushes the pending messages and answers the client's next one.
+func exchange(backend *pgproto3.Backend, authType uint32, conversation *scram.ServerConversation) error {
+	if err := backend.SetAuthType(authType); err != nil {
 		return trace.Wrap(err)
 	}
 	if err := backend.Flush(); err != nil {
@@ -125,7 +125,7 @@
 	if err != nil {
 		return trace.AccessDenied("SCRAM: %v", err)
 	}
-	if kind == pgproto3.AuthTypeSASL {
+	if authType == pgproto3.AuthTypeSASL {
 		backend.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(answer)})
 		return nil
 	}
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func unknownCredentials() scram.StoredCredentials {
+func randomCredentials() scram.StoredCredentials {
 	random := make([]byte, 80)
 	_, _ = rand.Read(random)
 	return scram.StoredCredentials{
--- a/internal/rosefront/batch.go
+++ b/internal/rosefront/batch.go
@@ -2,18 +2,19 @@
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
-// batch is what a caller sends up to the point where it waits for an answer:
-// one simple query, or extended messages up to Sync or Flush.
+// batch holds a client's messages up to the point where it waits for an answer:
+// one simple query, or extended query messages up to Sync or Flush.
 type batch struct {
 	messages []pgproto3.FrontendMessage
 	simple   *pgproto3.Query
-	// flush is set when the caller waits without ending the request.
+	// flush is set when the batch ends with Flush, so the request continues in
+	// the next batch.
 	flush bool
-	// skipping is set after an error, until the caller's Sync.
+	// skipping is set after an error, until the client's Sync.
 	skipping bool
 }
 
-// add takes a copy of a message, whose memory the backend uses again. It
+// add appends a copy of message, because the backend reuses its memory. It
 // reports whether the batch is complete.
 func (b *batch) add(message pgproto3.FrontendMessage) bool {
 	switch m := message.(type) {
@@ -62,9 +63,10 @@
 	return &bind
 }
 
-// dropped reports whether the batch is to be passed over because an earlier
-// part of the caller's request failed. The caller's Sync ends that.
-func (b *batch) dropped() bool {
+// skipUntilSync reports whether to skip the batch because an earlier part of
+// the request failed. A batch that ends with Sync is reduced to the Sync and
+// ends the skipping.
+func (b *batch) skipUntilSync() bool {
 	if !b.skipping {
 		return false
 	}
--- a/internal/rosefront/caller.go
+++ b/internal/rosefront/caller.go
@@ -18,13 +18,13 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesession"
 )
 
-// lastCallTime is how long a draining proxy still reads from an idle caller,
-// for a request that was on its way.
-const lastCallTime = 20 * time.Millisecond
+// drainReadGrace is how long a draining proxy still reads from an idle client,
+// for a request that is already on its way.
+const drainReadGrace = 20 * time.Millisecond
 
-// caller is one connection of a caller and its session. One goroutine serves
-// it; the fields under mu are shared with cancel and drain.
-type caller struct {
+// client is a client connection and its session. One goroutine serves it;
+// Cancel and Drain access the fields under mu.
+type client struct {
 	server  *Server
 	conn    net.Conn
 	backend *pgproto3.Backend
@@ -34,31 +34,33 @@
 	pid     uint32
 	secret  uint32
 
-	class       string
-	requestID   string
-	settings    settings
-	prepared    map[string]*preparedStatement
-	unnamedOn   *rosepool.Conn
-	token       string
-	lease       *roseroute.Lease
-	transaction rosemary.Class
-	// claimed is the request identifier claimed in the open transaction.
-	claimed string
-	// blockFailed is set when the open transaction was lost.
-	blockFailed bool
-	// tainted is set when a cancel may still reach the leased connection.
-	tainted bool
-	dead    bool
+	class            string
+	requestID        string
+	settings         settings
+	prepared         map[string]*preparedStatement
+	unnamedConn      *rosepool.Conn
+	token            string
+	lease            *roseroute.Lease
+	transactionClass rosemary.Class
+	// claimedID is the request identifier claimed in the open transaction.
+	claimedID string
+	// transactionLost is set when the open transaction was lost with its
+	// connection, until the client ends it.
+	transactionLost bool
+	// cancelPending is set when a cancel request may still reach the leased
+	// connection.
+	cancelPending bool
+	closed        bool
 
 	mu          sync.Mutex
-	interrupted bool
+	draining    bool
 	pinned      bool
-	running     *rosepool.Conn
+	runningConn *rosepool.Conn
 	cancelled   bool
 }
 
-func newCaller(s *Server, conn net.Conn, backend *pgproto3.Backend, tenant rosemary.Tenant, router *roseroute.Router, session rosesession.Session) *caller {
-	return &caller{
+func newClient(s *Server, conn net.Conn, backend *pgproto3.Backend, tenant rosemary.Tenant, router *roseroute.Router, session rosesession.Session) *client {
+	return &client{
 		server:   s,
 		conn:     conn,
 		backend:  backend,
@@ -70,10 +72,10 @@
 	}
 }
 
-// greet completes the handshake.
-func (c *caller) greet() {
+// sendStartupResponse queues the messages that end the startup.
+func (c *client) sendStartupResponse() {
 	c.backend.Send(&pgproto3.AuthenticationOk{})
-	for _, p := range greeting {
+	for _, p := range initialParameters {
 		c.backend.Send(&pgproto3.ParameterStatus{Name: p[0], Value: p[1]})
 	}
 	c.backend.Send(&pgproto3.ParameterStatus{Name: settingSession, Value: c.session.Name})
@@ -83,8 +85,8 @@
 	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 }
 
-// greeting holds the settings that clients need to know at startup.
-var greeting = [][2]string{
+// initialParameters are the parameters that client libraries need at startup.
+var initialParameters = [][2]string{
 	{"server_version", "15.0"},
 	{"server_encoding", "UTF8"},
 	{"client_encoding", "UTF8"},
@@ -95,22 +97,22 @@
 	{"TimeZone", "UTC"},
 }
 
-func (c *caller) flush() error {
+func (c *client) flush() error {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return c.backend.Flush()
 }
 
 // run serves requests until the session ends.
-func (c *caller) run() {
-	defer c.abandon()
+func (c *client) run() {
+	defer c.abortTransaction()
 	var b batch
-	for !c.dead {
+	for !c.closed {
 		if len(b.messages) == 0 {
-			c.awaitRequest()
+			c.setReadDeadline()
 		}
 		message, err := c.backend.Receive()
 		if err != nil {
-			c.explain(err)
+			c.reportReadTimeout(err)
 			return
 		}
 		switch message.(type) {
@@ -122,32 +124,32 @@
 		if !b.add(message) {
 			continue
 		}
-		if b.dropped() {
+		if b.skipUntilSync() {
 			b = batch{skipping: true}
 			continue
 		}
-		c.serve(&b)
+		c.serveBatch(&b)
 		b = batch{skipping: b.skipping}
 	}
 }
 
-// awaitRequest sets how long the next message may take.
-func (c *caller) awaitRequest() {
+// setReadDeadline sets the deadline for the client's next message.
+func (c *client) setReadDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	deadline := time.Time{}
 	switch {
 	case c.pinned:
-		deadline = time.Now().Add(idleTransactionLimit)
-	case c.interrupted:
-		deadline = time.Now().Add(lastCallTime)
+		deadline = time.Now().Add(idleTransactionTimeout)
+	case c.draining:
+		deadline = time.Now().Add(drainReadGrace)
 	}
 	_ = c.conn.SetReadDeadline(deadline)
 }
 
-// explain tells the caller why the session ends, when it was the proxy that
-// stopped waiting for the next message.
-func (c *caller) explain(err error) {
+// reportReadTimeout tells the client why its session ends if the read deadline
+// has passed.
+func (c *client) reportReadTimeout(err error) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return
 	}
@@ -155,112 +157,115 @@
 	pinned := c.pinned
 	c.mu.Unlock()
 	if pinned {
-		c.fatal(refuse(rosemary.KindDeadline, "the transaction was idle for too long and was rolled back", "keep transactions short"))
+		c.sendFatal(refuse(rosemary.KindDeadline, "the transaction was idle for too long and was rolled back", "keep transactions short"))
 		return
 	}
-	c.farewell()
+	c.sendShutdown()
 }
 
-// farewell tells the caller that the proxy shuts down.
-func (c *caller) farewell() {
-	c.fatal(refuse(rosemary.KindDraining, "this proxy is shutting down", "connect again with rosemary.token; the balancer has others"))
+// sendShutdown tells the client that the proxy is shutting down.
+func (c *client) sendShutdown() {
+	c.sendFatal(refuse(rosemary.KindDraining, "this proxy is shutting down", "reconnect and pass rosemary.token; the load balancer will choose another proxy"))
 }
 
-func (c *caller) fatal(r *rosemary.Refusal) {
-	c.dead = true
+func (c *client) sendFatal(r *rosemary.Refusal) {
+	c.closed = true
 	c.backend.Send(errorResponse(r, "FATAL"))
 	_ = c.flush()
 }
 
-// interruptIdle wakes a caller that waits for its next request.
-func (c *caller) interruptIdle() {
+// drain makes the session end outside a transaction, after drainReadGrace for a
+// further request.
+func (c *client) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.interrupted = true
+	c.draining = true
 	if !c.pinned {
-		_ = c.conn.SetReadDeadline(time.Now().Add(lastCallTime))
+		_ = c.conn.SetReadDeadline(time.Now().Add(drainReadGrace))
 	}
 }
 
-func (c *caller) kill() { c.conn.Close() }
+func (c *client) closeConn() { c.conn.Close() }
 
-// abandon rolls back what an ended session left open.
-func (c *caller) abandon() {
+// abortTransaction closes the leased connection, which rolls back its
+// transaction.
+func (c *client) abortTransaction() {
 	if c.lease != nil {
 		c.lease.Conn.Close()
 		c.unpin()
 	}
 }
 
-// serve answers one batch of messages.
-func (c *caller) serve(b *batch) {
+// serveBatch runs one batch and sends the answer.
+func (c *client) serveBatch(b *batch) {
 	started := time.Now()
 	r := newRequest(c, b)
 	ctx, cancel := context.WithTimeout(context.Background(), r.class.Timeout)
 	defer cancel()
 	err := c.server.chain(ctx, r)
 	if err != nil {
-		r.fail(err)
+		r.sendRefusal(err)
 	}
-	c.record(r, err, time.Since(started))
+	c.recordOutcome(r, err, time.Since(started))
 	if err := r.answer.finish(); err != nil {
-		c.dead = true
+		c.closed = true
 	}
 }
 
-// record writes the metrics, and a log line for a refusal.
-func (c *caller) record(r *request, err error, took time.Duration) {
+// recordOutcome updates the metrics and logs a refusal.
+func (c *client) recordOutcome(r *request, err error, took time.Duration) {
 	outcome := outcomeAnswered
 	if err != nil {
 		refusal := rosemary.AsRefusal(err, rosemary.OutcomeUnknown)
 		outcome = string(refusal.Outcome)
-		c.server.config.Metrics.refused(c.tenant.Name, string(refusal.Kind), outcome)
+		c.server.config.Metrics.countRefusal(c.tenant.Name, string(refusal.Kind), outcome)
 		klog.V(1).InfoS("request refused", "tenant", c.tenant.Name, "database", c.session.Database, "class", r.class.Name,
 			"kind", refusal.Kind, "outcome", refusal.Outcome, "message", refusal.Message)
 	}
-	c.server.config.Metrics.observe(c.tenant.Name, r.class.Name, r.servedBy(), outcome, took)
+	c.server.config.Metrics.observeRequest(c.tenant.Name, r.class.Name, r.servedBy(), outcome, took)
 }
 
-// pin keeps the lease for the rest of a transaction.
-func (c *caller) pin(lease *roseroute.Lease) {
+// pin keeps the lease for the rest of a transaction or a request.
+func (c *client) pin(lease *roseroute.Lease) {
 	c.lease = lease
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pinned = true
 }
 
-// unpin gives the lease back.
-func (c *caller) unpin() {
-	if c.tainted {
+// unpin releases the lease. It closes a connection that a late cancel request
+// may still reach.
+func (c *client) unpin() {
+	if c.cancelPending {
 		c.lease.Conn.Close()
 	}
-	c.tainted = false
-	c.claimed = ""
+	c.cancelPending = false
+	c.claimedID = ""
 	c.lease.Release(false)
 	c.lease = nil
-	c.unnamedOn = nil
+	c.unnamedConn = nil
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pinned = false
 }
 
-// setRunning names the connection that a cancel request is to reach. It
-// reports whether a cancel was sent while the last one ran: that connection
-// may still be hit by it, and must not serve another session.
-func (c *caller) setRunning(conn *rosepool.Conn) bool {
+// setRunningConn sets the connection that receives cancel requests. It reports
+// whether one was sent to the previous connection: it may arrive late and
+// cancel a later statement, so that connection must not serve another session.
+func (c *client) setRunningConn(conn *rosepool.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cancelled := c.cancelled
-	c.running = conn
+	c.runningConn = conn
 	c.cancelled = false
 	return cancelled
 }
 
-// cancelStatement passes a cancel request on to the target that runs the
-// caller's statement now.
-func (c *caller) cancelStatement() {
+// cancelStatement forwards a cancel request to the target that runs the
+// client's statement.
+func (c *client) cancelStatement() {
 	c.mu.Lock()
-	conn := c.running
+	conn := c.runningConn
 	c.cancelled = conn != nil
 	c.mu.Unlock()
 	if conn == nil {
--- a/internal/rosefront/execute.go
+++ b/internal/rosefront/execute.go
@@ -13,15 +13,15 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-var errUnexpectedReply = errors.New("the target sent an answer that nothing asked for")
+var errUnexpectedMessage = errors.New("the target sent an unexpected message")
 
 func refuseCopy() error {
-	return refuse(rosemary.KindUnsupported, "COPY needs a connection of its own", remedies["copy"])
+	return refuse(rosemary.KindUnsupported, "COPY needs a dedicated connection to the target", remedies["copy"])
 }
 
-// execute is the end of the chain: it sends the request to a target.
+// execute is the last handler of the chain. It runs the request at a target.
 func execute(ctx context.Context, r *request) error {
-	c := r.caller
+	c := r.client
 	lease, err := c.leaseFor(ctx, r)
 	if err != nil {
 		return err
@@ -30,18 +30,18 @@
 	if lease.Replica {
 		r.served = "replica"
 	}
-	e := &execution{request: r, lease: lease, inBlock: c.lease != nil && lease.Conn.TxStatus() != 'I'}
+	e := &execution{request: r, lease: lease, inTransaction: c.lease != nil && lease.Conn.TxStatus() != 'I'}
 	if err := c.applySettings(ctx, lease.Conn); err != nil {
-		return e.settle(ctx, err)
+		return e.finish(ctx, err)
 	}
-	c.setRunning(lease.Conn)
+	c.setRunningConn(lease.Conn)
 	err = e.run(ctx)
-	e.cancelled = c.setRunning(nil)
-	return e.settle(ctx, err)
+	e.cancelled = c.setRunningConn(nil)
+	return e.finish(ctx, err)
 }
 
-// leaseFor returns the lease of the open transaction, or a new one.
-func (c *caller) leaseFor(ctx context.Context, r *request) (*roseroute.Lease, error) {
+// leaseFor returns the lease of the open transaction, or acquires one.
+func (c *client) leaseFor(ctx context.Context, r *request) (*roseroute.Lease, error) {
 	if c.lease != nil {
 		return c.lease, nil
 	}
@@ -53,8 +53,9 @@
 	})
 }
 
-// applySettings gives the connection the session's settings.
-func (c *caller) applySettings(ctx context.Context, conn *rosepool.Conn) error {
+// applySettings applies the session's settings to the connection. It does
+// nothing in a transaction.
+func (c *client) applySettings(ctx context.Context, conn *rosepool.Conn) error {
 	wanted := c.settings.fingerprint()
 	if conn.SettingsFingerprint == wanted || conn.TxStatus() != 'I' {
 		return nil
@@ -62,7 +63,7 @@
 	if _, err := conn.Query(ctx, c.settings.script()); err != nil {
 		if trace.IsBadParameter(err) {
 			conn.Close()
-			return refuse(rosemary.KindUnsupported, "a session setting was refused: "+err.Error(), "correct it with SET, or RESET it")
+			return refuse(rosemary.KindUnsupported, "the target refused a session setting: "+err.Error(), "correct the setting with SET, or RESET it")
 		}
 		return err
 	}
@@ -70,63 +71,63 @@
 	return nil
 }
 
-// execution is one try of a request on one connection.
+// execution is one attempt to run a request on a connection.
 type execution struct {
-	request      *request
-	lease        *roseroute.Lease
-	inBlock      bool
-	cancelled    bool
-	bodySent     bool
-	claimFailure *pgproto3.ErrorResponse
-	position     rosemary.Position
-	asked        bool
+	request         *request
+	lease           *roseroute.Lease
+	inTransaction   bool
+	cancelled       bool
+	requestSent     bool
+	claimError      *pgproto3.ErrorResponse
+	position        rosemary.Position
+	positionQueried bool
 }
 
-// run sends the request with what the proxy adds around it.
+// run sends the request together with the proxy's own statements.
 func (e *execution) run(ctx context.Context) error {
 	r, conn := e.request, e.lease.Conn
-	r.answer.hold = !e.lease.Replica
+	r.answer.holdCompletion = !e.lease.Replica
 	reader := &replyReader{request: r, conn: conn}
 	messages := r.batch.messages
-	evicts := false
+	evicted := false
 	if r.batch.simple == nil {
-		t, err := r.caller.translate(r.batch, conn)
+		t, err := r.client.translate(r.batch, conn)
 		if err != nil {
 			return err
 		}
-		messages, reader.replies, evicts = t.messages, t.replies, t.evicts
+		messages, reader.replies, evicted = t.messages, t.replies, t.evicted
 	}
-	e.bodySent = true
-	if !r.ends() {
+	e.requestSent = true
+	if !r.isLastPart() {
 		return e.runPart(ctx, reader, messages)
 	}
 	if err := conn.Exchange(ctx, e.steps(reader, messages)...); err != nil {
 		return err
 	}
-	if reader.failed && evicts {
+	if reader.failed && evicted {
 		conn.Close()
 	}
 	if reader.failed {
-		r.forgetFailedParses(conn)
+		r.dropFailedParses(conn)
 	}
-	e.replaceByClaimFailure()
-	return e.askPosition(ctx)
+	e.finishClaim()
+	return e.queryPosition(ctx)
 }
 
-// steps puts the claim, the request and the question for the position of what
-// was written in one exchange.
+// steps combines the claim, the request and the query for the position of its
+// writes in one exchange.
 func (e *execution) steps(reader *replyReader, messages []pgproto3.FrontendMessage) []rosepool.Step {
 	r := e.request
-	body := rosepool.Step{Messages: messages, Receive: reader.take}
-	claim := rosepool.Step{Messages: one(claimQuery(r.id)), Receive: e.takeClaim}
+	body := rosepool.Step{Messages: messages, Receive: reader.receive}
+	claim := rosepool.Step{Messages: oneMessage(claimQuery(r.requestID)), Receive: e.receiveClaim}
 	var steps []rosepool.Step
-	switch r.claim {
+	switch r.claimPlacement {
 	case claimWrapped:
 		steps = []rosepool.Step{
-			{Messages: one(&pgproto3.Query{String: "BEGIN"})},
+			{Messages: oneMessage(&pgproto3.Query{String: "BEGIN"})},
 			claim,
 			body,
-			{Messages: one(&pgproto3.Query{String: "COMMIT"}), Receive: e.takeCommit},
+			{Messages: oneMessage(&pgproto3.Query{String: "COMMIT"}), Receive: e.receiveCommit},
 		}
 	case claimBefore:
 		steps = []rosepool.Step{claim, body}
@@ -136,52 +137,54 @@
 		steps = []rosepool.Step{body}
 	}
 	if e.mayCommit() {
-		e.asked = true
-		steps = append(steps, rosepool.Step{Messages: one(positionQuery), Receive: e.takePosition})
+		e.positionQueried = true
+		steps = append(steps, rosepool.Step{Messages: oneMessage(positionQuery), Receive: e.receivePosition})
 	}
 	return steps
 }
 
 var positionQuery = &pgproto3.Query{String: "SELECT rosemary.position()"}
 
-func one(message pgproto3.FrontendMessage) []pgproto3.FrontendMessage {
+func oneMessage(message pgproto3.FrontendMessage) []pgproto3.FrontendMessage {
 	return []pgproto3.FrontendMessage{message}
 }
 
-// mayCommit reports whether the request can end a transaction that wrote.
+// mayCommit reports whether the request can commit a transaction with writes.
 func (e *execution) mayCommit() bool {
 	r := e.request
-	if e.lease.Replica || !r.executes && !e.partial() {
+	if e.lease.Replica || !r.executes && !e.hasEarlierParts() {
 		return false
 	}
-	return !e.inBlock && !r.all(rosestatement.KindBegin) || r.has(rosestatement.KindEnd)
+	return !e.inTransaction && !r.allOfKinds(rosestatement.KindBegin) || r.hasKind(rosestatement.KindEnd)
 }
 
-// partial reports whether earlier parts of the request were sent already.
-func (e *execution) partial() bool {
-	return e.request.caller.lease == e.lease && !e.inBlock
+// hasEarlierParts reports whether earlier parts of the request were already
+// sent.
+func (e *execution) hasEarlierParts() bool {
+	return e.request.client.lease == e.lease && !e.inTransaction
 }
 
-func (e *execution) takeClaim(message pgproto3.BackendMessage) error {
+func (e *execution) receiveClaim(message pgproto3.BackendMessage) error {
 	if m, failed := message.(*pgproto3.ErrorResponse); failed {
 		failure := *m
-		e.claimFailure = &failure
+		e.claimError = &failure
 	}
 	return nil
 }
 
-// takeCommit takes the answer to the COMMIT of a wrapped request.
-func (e *execution) takeCommit(message pgproto3.BackendMessage) error {
+// receiveCommit handles the target's answer to the COMMIT of claimWrapped. An
+// error replaces the answer of the request.
+func (e *execution) receiveCommit(message pgproto3.BackendMessage) error {
 	if m, failed := message.(*pgproto3.ErrorResponse); failed {
 		r := e.request
-		r.noteFailure(m)
+		r.recordTargetError(m)
 		r.answer.reset()
 		r.answer.send(m)
 	}
 	return nil
 }
 
-func (e *execution) takePosition(message pgproto3.BackendMessage) error {
+func (e *execution) receivePosition(message pgproto3.BackendMessage) error {
 	m, isRow := message.(*pgproto3.DataRow)
 	if !isRow || len(m.Values) != 1 {
 		return nil
@@ -194,27 +197,28 @@
 	return nil
 }
 
-// replaceByClaimFailure puts the claim's error in the place of the error that
-// the request got because of it.
-func (e *execution) replaceByClaimFailure() {
-	if e.claimFailure == nil {
-		if e.request.claim != claimNone {
-			e.request.caller.claimed = e.request.id
+// finishClaim records a successful claim. The error of a failed claim replaces
+// the error that the request got as a consequence.
+func (e *execution) finishClaim() {
+	if e.claimError == nil {
+		if e.request.claimPlacement != claimNone {
+			e.request.client.claimedID = e.request.requestID
 		}
 		return
 	}
 	r := e.request
-	r.noteFailure(e.claimFailure)
+	r.recordTargetError(e.claimError)
 	r.answer.reset()
-	r.answer.send(e.claimFailure)
+	r.answer.send(e.claimError)
 	const uniqueViolation = "23505"
-	if e.claimFailure.Code == uniqueViolation {
-		r.claimRefused = outcomeIn(e.claimFailure.Detail)
+	if e.claimError.Code == uniqueViolation {
+		r.claimedOutcome = claimOutcome(e.claimError.Detail)
 	}
 }
 
-// outcomeIn returns the outcome that a refused claim tells.
-func outcomeIn(detail string) string {
+// claimOutcome returns the outcome of the first run, which the error detail of
+// a repeated claim ends with.
+func claimOutcome(detail string) string {
 	const ran = "ran"
 	if len(detail) >= len(ran) && detail[len(detail)-len(ran):] == ran {
 		return ran
@@ -222,15 +226,15 @@
 	return "did not run"
 }
 
-// askPosition asks for the position when the transaction ended without the
-// question on its way.
-func (e *execution) askPosition(ctx context.Context) error {
+// queryPosition records the position of a transaction that has ended. It queries
+// the position if the exchange did not include that.
+func (e *execution) queryPosition(ctx context.Context) error {
 	conn := e.lease.Conn
 	if e.lease.Replica || conn.TxStatus() != 'I' || conn.Broken() {
 		return nil
 	}
-	if !e.asked && (e.request.executes || e.partial()) {
-		if err := conn.Exchange(ctx, rosepool.Step{Messages: one(positionQuery), Receive: e.takePosition}); err != nil {
+	if !e.positionQueried && (e.request.executes || e.hasEarlierParts()) {
+		if err := conn.Exchange(ctx, rosepool.Step{Messages: oneMessage(positionQuery), Receive: e.receivePosition}); err != nil {
 			return err
 		}
 	}
@@ -241,7 +245,7 @@
 	return nil
 }
 
-// runPart sends a part of a request that the caller will end later.
+// runPart sends a part of a request that continues in the next batch.
 func (e *execution) runPart(ctx context.Context, reader *replyReader, messages []pgproto3.FrontendMessage) error {
 	conn := e.lease.Conn
 	if err := conn.SendFlush(ctx, messages); err != nil {
@@ -252,26 +256,26 @@
 		if err != nil {
 			return err
 		}
-		if err := reader.take(message); err != nil {
+		if err := reader.receive(message); err != nil {
 			conn.Close()
 			return err
 		}
 	}
 	e.request.batch.skipping = reader.failed
-	e.request.answer.hold = false
+	e.request.answer.holdCompletion = false
 	e.request.answer.flush()
 	return nil
 }
 
-// forgetFailedParses drops the statements that the target didn't prepare.
-func (r *request) forgetFailedParses(conn *rosepool.Conn) {
+// dropFailedParses removes the statements that the target failed to prepare.
+func (r *request) dropFailedParses(conn *rosepool.Conn) {
 	for _, message := range r.batch.messages {
 		m, isParse := message.(*pgproto3.Parse)
 		if !isParse || m.Name == "" {
 			continue
 		}
-		if p := r.caller.prepared[m.Name]; p != nil && !conn.HasPrepared(p.serverName) {
-			delete(r.caller.prepared, m.Name)
+		if p := r.client.prepared[m.Name]; p != nil && !conn.HasPrepared(p.serverName) {
+			delete(r.client.prepared, m.Name)
 		}
 	}
 }
--- a/internal/rosefront/filter_check.go
+++ b/internal/rosefront/filter_check.go
@@ -9,20 +9,20 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-// checkFilter refuses what can't be served on a shared connection.
+// checkFilter refuses requests that can't be served on a shared connection.
 func checkFilter(s *Server, next handler) handler {
 	return func(ctx context.Context, r *request) error {
-		s.budget.Deposit()
+		s.retryBudget.Deposit()
 		if r.classError != nil {
 			return r.classError
 		}
 		for _, message := range r.batch.messages {
 			switch message.(type) {
 			case *pgproto3.FunctionCall:
-				return refuse(rosemary.KindUnsupported, "the function-call protocol isn't supported", "call the function with SELECT")
+				return refuse(rosemary.KindUnsupported, "the function call protocol is not supported", "call the function with SELECT")
 			case *pgproto3.Query:
 				if len(r.batch.messages) > 1 {
-					return refuse(rosemary.KindProtocol, "a simple query within an extended request", "send Sync before the query")
+					return refuse(rosemary.KindProtocol, "simple query before the Sync of an extended query", "send Sync before the query")
 				}
 			}
 		}
@@ -35,16 +35,16 @@
 	}
 }
 
-// remedies tell what to do instead of a statement that needs a connection of
-// its own.
+// remedies are the alternatives to statements that need a dedicated connection,
+// by their first keyword.
 var remedies = map[string]string{
-	"listen":   "connect to the target directly to listen",
-	"unlisten": "connect to the target directly to listen",
+	"listen":   "connect to the target directly for notifications",
+	"unlisten": "connect to the target directly for notifications",
 	"copy":     "use INSERT with several rows, or connect to the target directly",
-	"prepare":  "prepare by the protocol, as drivers do",
-	"load":     "have the operators set it at the target",
-	"declare":  "use LIMIT and a key range",
-	"create":   "use an ordinary table",
+	"prepare":  "prepare through the extended query protocol, as drivers do",
+	"load":     "ask the operators to load the library at the target",
+	"declare":  "page through the rows with LIMIT and a key range",
+	"create":   "use a permanent table",
 }
 
 func checkStatement(statement rosestatement.Statement) error {
@@ -52,5 +52,5 @@
 		return nil
 	}
 	word := statement.Word(0)
-	return refuse(rosemary.KindUnsupported, "the statement "+quote(word)+" needs a connection of its own", remedies[word])
+	return refuse(rosemary.KindUnsupported, "the statement "+quote(word)+" needs a dedicated connection to the target", remedies[word])
 }
--- a/internal/rosefront/filter_claim.go
+++ b/internal/rosefront/filter_claim.go
@@ -10,21 +10,21 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-// claimPlan tells where the claim of a request identifier goes.
-type claimPlan int
+// claimPlacement determines where the claim of a request identifier is sent.
+type claimPlacement int
 
 const (
-	claimNone claimPlan = iota
-	// claimWrapped puts the request in a transaction block of its own.
+	claimNone claimPlacement = iota
+	// claimWrapped opens a transaction for the claim and the request.
 	claimWrapped
-	// claimBefore goes first within the caller's transaction block.
+	// claimBefore precedes the request in the client's transaction.
 	claimBefore
-	// claimAfter follows the BEGIN that the request consists of.
+	// claimAfter follows the request, which is a single BEGIN.
 	claimAfter
 )
 
-// claimFilter claims the request's identifier in the transaction of the
-// request itself, so that a second run is refused by the target.
+// claimFilter claims the request's identifier in the transaction of the request
+// itself, so that the target refuses a second run.
 func claimFilter(_ *Server, next handler) handler {
 	return func(ctx context.Context, r *request) error {
 		if err := r.planClaim(); err != nil {
@@ -33,10 +33,10 @@
 		if err := next(ctx, r); err != nil {
 			return err
 		}
-		if r.claim != claimNone {
-			r.caller.requestID = ""
+		if r.claimPlacement != claimNone {
+			r.client.requestID = ""
 		}
-		if r.claimRefused != "" {
+		if r.claimedOutcome != "" {
 			return r.refuseDuplicate(ctx)
 		}
 		return nil
@@ -44,44 +44,45 @@
 }
 
 func (r *request) planClaim() error {
-	r.claim = claimNone
-	if r.id == "" || !r.executes || r.class.ReadOnly && !r.forcePrimary || r.caller.claimed == r.id {
+	r.claimPlacement = claimNone
+	if r.requestID == "" || !r.executes || r.class.ReadOnly && !r.forcePrimary || r.client.claimedID == r.requestID {
 		return nil
 	}
-	begins, ends := r.has(rosestatement.KindBegin), r.has(rosestatement.KindEnd)
+	begins, ends := r.hasKind(rosestatement.KindBegin), r.hasKind(rosestatement.KindEnd)
 	switch {
-	case !r.ends():
-		return refuse(rosemary.KindUnsupported, "a request identifier with Flush isn't supported", "send Sync with the request")
+	case !r.isLastPart():
+		return refuse(rosemary.KindUnsupported, "a request identifier can't be used with Flush", "end the request with Sync")
 	case begins && ends || begins && len(r.statements) > 1:
-		return refuse(rosemary.KindUnsupported, "a request identifier on a script that opens its own transaction block",
-			"send BEGIN alone with the identifier, or leave BEGIN and COMMIT out")
+		return refuse(rosemary.KindUnsupported, "a request identifier can't be used on a script that opens a transaction block",
+			"send BEGIN alone with the identifier, or omit BEGIN and COMMIT")
 	case begins:
-		r.claim = claimAfter
-	case r.caller.lease != nil && ends:
+		r.claimPlacement = claimAfter
+	case r.client.lease != nil && ends:
 		return nil
-	case r.caller.lease != nil:
-		r.claim = claimBefore
+	case r.client.lease != nil:
+		r.claimPlacement = claimBefore
 	default:
-		r.claim = claimWrapped
+		r.claimPlacement = claimWrapped
 	}
 	return nil
 }
 
-// refuseDuplicate tells the outcome of the first run, once that is settled.
+// refuseDuplicate reports the outcome of the first run once that run can no
+// longer be undone by a failover.
 func (r *request) refuseDuplicate(ctx context.Context) error {
-	group := r.caller.router.Group()
+	group := r.client.router.Group()
 	position, err := group.MinReadPosition(ctx, time.Now())
 	if err == nil {
 		_, err = group.AwaitConfirmation(ctx, position)
 	}
 	if err != nil {
-		return refuse(rosemary.KindDuplicateRequest, "request "+quote(r.id)+" was claimed before, and its outcome isn't settled yet",
-			"ask with rosemary.outcome(request)")
+		return refuse(rosemary.KindDuplicateRequest, "request "+quote(r.requestID)+" was claimed before, and its outcome is not confirmed yet",
+			"query rosemary.outcome(request)")
 	}
-	return refuse(rosemary.KindDuplicateRequest, "request "+quote(r.id)+" was claimed before; its first outcome: "+r.claimRefused,
-		"don't send it again; use a new identifier for a new request")
+	return refuse(rosemary.KindDuplicateRequest, "request "+quote(r.requestID)+" was claimed before; its first outcome: "+r.claimedOutcome,
+		"don't retry; use a new identifier for a new request")
 }
 
 func claimQuery(id string) *pgproto3.Query {
-	return &pgproto3.Query{String: "SELECT rosemary.claim(" + literal(id) + ")"}
+	return &pgproto3.Query{String: "SELECT rosemary.claim(" + quoteLiteral(id) + ")"}
 }
--- a/internal/rosefront/filter_confirm.go
+++ b/internal/rosefront/filter_confirm.go
@@ -7,7 +7,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// confirmFilter answers a write only once a quorum of targets holds it.
+// confirmFilter delays the answer to a write until a quorum of targets holds
+// the write.
 func confirmFilter(s *Server, next handler) handler {
 	return func(ctx context.Context, r *request) error {
 		if err := next(ctx, r); err != nil {
@@ -18,22 +19,22 @@
 				return err
 			}
 		}
-		if r.ends() {
-			r.ready()
+		if r.isLastPart() {
+			r.sendReady()
 		}
 		return nil
 	}
 }
 
 func (s *Server) confirm(ctx context.Context, r *request) error {
-	c := r.caller
+	c := r.client
 	started := time.Now()
-	before := c.session
+	previous := c.session
 	c.session = c.session.WithMinPosition(r.committed)
 	if s.config.AcknowledgeOnPrimary {
 		return nil
 	}
-	fate, err := c.router.Group().AwaitConfirmation(ctx, r.committed)
+	state, err := c.router.Group().AwaitConfirmation(ctx, r.committed)
 	s.config.Metrics.observeConfirm(c.tenant.Name, time.Since(started))
 	switch {
 	case err != nil:
@@ -41,11 +42,11 @@
 			Kind:    rosemary.KindUnconfirmed,
 			Outcome: rosemary.OutcomeUnknown,
 			Message: "the write reached the primary but was not confirmed before the deadline",
-			Remedy:  "ask with rosemary.outcome(request), or read the row from the primary",
+			Remedy:  "query rosemary.outcome(request), or read the row from the primary",
 		}
-	case fate == rosemary.RecordLost:
-		c.session = before
-		return refuse(rosemary.KindUnconfirmed, "the primary was replaced before the write was confirmed, and the write is gone", "retry")
+	case state == rosemary.RecordLost:
+		c.session = previous
+		return refuse(rosemary.KindUnconfirmed, "the primary was replaced before the write was confirmed, and the write was lost", "retry")
 	}
 	return nil
 }
--- a/internal/rosefront/filter_floor.go
+++ b/internal/rosefront/filter_floor.go
@@ -7,20 +7,20 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// floorFilter finds the floor of a session that was named without a token,
-// before its first read from a replica.
-func floorFilter(_ *Server, next handler) handler {
+// minPositionFilter determines the minimum position of a session that was named
+// without a token, before its first read from a replica.
+func minPositionFilter(_ *Server, next handler) handler {
 	return func(ctx context.Context, r *request) error {
-		c := r.caller
+		c := r.client
 		if !c.session.MinPositionUnknown || !r.class.ReadOnly || c.lease != nil {
 			return next(ctx, r)
 		}
-		floor, err := c.router.Group().MinReadPosition(ctx, time.Now())
+		position, err := c.router.Group().MinReadPosition(ctx, time.Now())
 		if err != nil {
-			return refuse(rosemary.KindNoPrimary, "what the session wrote before can't be found out without the primary",
+			return refuse(rosemary.KindNoPrimary, "the position of the session's last write can't be determined without the primary",
 				"pass the session's rosemary.token, or retry later")
 		}
-		c.session = c.session.WithSampledMinPosition(floor)
+		c.session = c.session.WithSampledMinPosition(position)
 		return next(ctx, r)
 	}
 }
--- a/internal/rosefront/filter_local.go
+++ b/internal/rosefront/filter_local.go
@@ -9,17 +9,17 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-// localFilter answers statements about the session itself, which no target
-// needs to see.
+// localFilter answers statements that concern only the session, without a
+// target.
 func localFilter(_ *Server, next handler) handler {
 	return func(ctx context.Context, r *request) error {
-		if r.caller.blockFailed {
-			return r.inFailedBlock()
+		if r.client.transactionLost {
+			return r.answerLostTransaction()
 		}
-		if !r.all(rosestatement.KindProxySet, rosestatement.KindProxyShow, rosestatement.KindSessionSet,
+		if !r.allOfKinds(rosestatement.KindProxySet, rosestatement.KindProxyShow, rosestatement.KindSessionSet,
 			rosestatement.KindReset, rosestatement.KindDiscard, rosestatement.KindDeallocate) {
-			if r.has(rosestatement.KindProxySet) || r.has(rosestatement.KindSessionSet) || r.has(rosestatement.KindDiscard) {
-				return refuse(rosemary.KindUnsupported, "SET and other statements in one message", "send SET in a message of its own")
+			if r.hasKind(rosestatement.KindProxySet) || r.hasKind(rosestatement.KindSessionSet) || r.hasKind(rosestatement.KindDiscard) {
+				return refuse(rosemary.KindUnsupported, "SET or DISCARD can't be combined with other statements in one message", "send it in a separate message")
 			}
 			return next(ctx, r)
 		}
@@ -27,36 +27,37 @@
 		if err := r.answerLocally(); err != nil {
 			return err
 		}
-		if r.ends() {
-			r.ready()
+		if r.isLastPart() {
+			r.sendReady()
 		}
 		return nil
 	}
 }
 
-// inFailedBlock serves a caller whose transaction was lost with its
-// connection: only its end is accepted, as the database would do.
-func (r *request) inFailedBlock() error {
-	if !r.all(rosestatement.KindEnd) {
+// answerLostTransaction serves a client whose transaction was lost with its
+// connection. Like the database after an error, it accepts only the end of the
+// transaction.
+func (r *request) answerLostTransaction() error {
+	if !r.allOfKinds(rosestatement.KindEnd) {
 		if len(r.statements) == 0 {
-			r.ready()
+			r.sendReady()
 			return nil
 		}
 		return &rosemary.Refusal{
 			Kind:    rosemary.KindConnectionLost,
 			Outcome: rosemary.OutcomeNotRun,
-			Message: "the transaction was lost with its connection and rolled back",
+			Message: "the connection to the target was lost and the transaction was rolled back",
 			Remedy:  "send ROLLBACK and run the transaction again",
 		}
 	}
-	r.caller.blockFailed = false
+	r.client.transactionLost = false
 	r.served = "proxy"
 	for _, message := range r.batch.messages {
-		if err := r.localMessage(message, "ROLLBACK", nil); err != nil {
+		if err := r.answerMessage(message, "ROLLBACK", nil); err != nil {
 			return err
 		}
 	}
-	r.ready()
+	r.sendReady()
 	return nil
 }
 
@@ -64,7 +65,7 @@
 func (r *request) answerLocally() error {
 	if r.batch.simple != nil {
 		for _, s := range r.statements {
-			tag, shown, err := r.caller.runLocally(s)
+			tag, shown, err := r.client.runLocally(s)
 			if err != nil {
 				return err
 			}
@@ -76,16 +77,16 @@
 		return nil
 	}
 	for _, message := range r.batch.messages {
-		if err := r.localMessage(message, "", r.statements); err != nil {
+		if err := r.answerMessage(message, "", r.statements); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// localMessage answers one message. With a tag, statements are answered by
-// that tag alone.
-func (r *request) localMessage(message pgproto3.FrontendMessage, tag string, statements []rosestatement.Statement) error {
+// answerMessage answers one message. Without statements, tag is the command tag
+// of the answer.
+func (r *request) answerMessage(message pgproto3.FrontendMessage, tag string, statements []rosestatement.Statement) error {
 	switch m := message.(type) {
 	case *pgproto3.Query:
 		r.answer.send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
@@ -94,7 +95,7 @@
 	case *pgproto3.Bind:
 		r.answer.send(&pgproto3.BindComplete{})
 	case *pgproto3.Close:
-		delete(r.caller.prepared, m.Name)
+		delete(r.client.prepared, m.Name)
 		r.answer.send(&pgproto3.CloseComplete{})
 	case *pgproto3.Describe:
 		if m.ObjectType == 'S' {
@@ -110,16 +111,16 @@
 			r.answer.send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 			return nil
 		}
-		done, shown, err := r.caller.runLocally(statements[0])
+		commandTag, shown, err := r.client.runLocally(statements[0])
 		if err != nil {
 			return err
 		}
-		r.sendShown(done, shown)
+		r.sendShown(commandTag, shown)
 	}
 	return nil
 }
 
-// shownSetting is the answer of a SHOW.
+// shownSetting is the result of a SHOW.
 type shownSetting struct {
 	name  string
 	value string
@@ -139,8 +140,8 @@
 	}}
 }
 
-// runLocally runs one statement and returns its tag.
-func (c *caller) runLocally(s rosestatement.Statement) (string, *shownSetting, error) {
+// runLocally runs one statement and returns its command tag.
+func (c *client) runLocally(s rosestatement.Statement) (string, *shownSetting, error) {
 	switch s.Kind() {
 	case rosestatement.KindProxyShow:
 		value, err := c.show(s.Setting())
@@ -157,7 +158,7 @@
 	return "SET", nil, c.set(s.Setting(), s.Value)
 }
 
-func (c *caller) reset(name string) error {
+func (c *client) reset(name string) error {
 	switch name {
 	case "all":
 		clear(c.settings)
@@ -171,7 +172,7 @@
 	return nil
 }
 
-func (c *caller) deallocate(s rosestatement.Statement) error {
+func (c *client) deallocate(s rosestatement.Statement) error {
 	name := s.Word(1)
 	if name == "prepare" {
 		name = s.Word(2)
--- a/internal/rosefront/filter_retry.go
+++ b/internal/rosefront/filter_retry.go
@@ -10,24 +10,24 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-// readOnlyState is the SQLSTATE of a write on a target that takes none. The
-// target has not run it.
-const readOnlyState = "25006"
+// readOnlySQLState is the SQLSTATE of a write refused by a read-only target.
+// The write has not run.
+const readOnlySQLState = "25006"
 
-// retryPause separates tries while a group changes its primary.
-const retryPause = 10 * time.Millisecond
+// retryInterval separates attempts while the primary of a group changes.
+const retryInterval = 10 * time.Millisecond
 
-// retryFilter runs a request again when it has not run, or may run twice,
+// retryFilter retries a request that has not run or may safely run twice,
 // within the retry budget and the deadline.
 func retryFilter(s *Server, next handler) handler {
 	return func(ctx context.Context, r *request) error {
-		inBlock := r.caller.lease != nil
+		inTransaction := r.client.lease != nil
 		for {
 			err := next(ctx, r)
-			if inBlock || r.answer.streamed || !r.again(err) || !s.budget.TryWithdraw() {
+			if inTransaction || r.answer.streamed || !r.shouldRetry(err) || !s.retryBudget.TryWithdraw() {
 				return err
 			}
-			if !roseclock.Sleep(ctx, retryPause) {
+			if !roseclock.Sleep(ctx, retryInterval) {
 				return err
 			}
 			r.reset()
@@ -35,10 +35,10 @@
 	}
 }
 
-// again reports whether another try is allowed and may help.
-func (r *request) again(err error) bool {
+// shouldRetry reports whether a retry is safe and can succeed.
+func (r *request) shouldRetry(err error) bool {
 	if err == nil {
-		return r.refusedAsWrite()
+		return r.redirectWrite()
 	}
 	var refusal *rosemary.Refusal
 	if !errors.As(err, &refusal) || refusal.Kind != rosemary.KindConnectionLost {
@@ -47,10 +47,10 @@
 	return refusal.Outcome == rosemary.OutcomeNotRun || r.mayRepeat()
 }
 
-// refusedAsWrite reports whether the target refused a write, which then has
-// not run. The next try goes to the primary.
-func (r *request) refusedAsWrite() bool {
-	if r.failure == nil || r.failure.Code != readOnlyState || r.has(rosestatement.KindEnd) || !r.ends() {
+// redirectWrite reports whether a read-only target refused the request as a
+// write, and if so sends the next attempt to the primary.
+func (r *request) redirectWrite() bool {
+	if r.targetError == nil || r.targetError.Code != readOnlySQLState || r.hasKind(rosestatement.KindEnd) || !r.isLastPart() {
 		return false
 	}
 	r.forcePrimary = true
--- a/internal/rosefront/handshake.go
+++ b/internal/rosefront/handshake.go
@@ -16,7 +16,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesession"
 )
 
-// Startup parameters of the proxy, which callers may also pass in options.
+// Settings of the proxy. Clients may pass them as startup parameters or in
+// options.
 const (
 	settingToken   = "rosemary.token"
 	settingSession = "rosemary.session"
@@ -24,9 +25,9 @@
 	settingRequest = "rosemary.request"
 )
 
-// handshake answers everything up to the first request. It returns no caller
-// when the connection has served its purpose.
-func (s *Server) handshake(conn net.Conn, full bool) (*caller, error) {
+// handshake processes all messages before the first request. The client is nil
+// if the connection was only a cancel request.
+func (s *Server) handshake(conn net.Conn, overLimit bool) (*client, error) {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	encrypted := false
 	for {
@@ -34,7 +35,7 @@
 		backend.SetMaxBodyLen(s.config.MaxMessageBytes)
 		message, err := backend.ReceiveStartupMessage()
 		if err != nil {
-			return nil, trace.Wrap(err, "startup message")
+			return nil, trace.Wrap(err, "receive startup message")
 		}
 		switch m := message.(type) {
 		case *pgproto3.GSSEncRequest:
@@ -43,17 +44,17 @@
 			}
 		case *pgproto3.SSLRequest:
 			if encrypted {
-				return nil, trace.BadParameter("a second request for encryption")
+				return nil, trace.BadParameter("the client requested encryption twice")
 			}
 			if conn, err = s.startTLS(conn); err != nil {
 				return nil, err
 			}
 			_, encrypted = conn.(*tls.Conn)
 		case *pgproto3.CancelRequest:
-			s.cancelRequest(m)
+			s.handleCancel(m)
 			return nil, nil
 		case *pgproto3.StartupMessage:
-			return s.startup(conn, backend, m, full, encrypted)
+			return s.startup(conn, backend, m, overLimit, encrypted)
 		}
 	}
 }
@@ -73,7 +74,7 @@
 	return encrypted, nil
 }
 
-func (s *Server) cancelRequest(m *pgproto3.CancelRequest) {
+func (s *Server) handleCancel(m *pgproto3.CancelRequest) {
 	if len(m.SecretKey) != 4 {
 		return
 	}
@@ -83,8 +84,8 @@
 	}
 }
 
-func (s *Server) startup(conn net.Conn, backend *pgproto3.Backend, m *pgproto3.StartupMessage, full, encrypted bool) (*caller, error) {
-	c, err := s.admit(conn, backend, m, full, encrypted)
+func (s *Server) startup(conn net.Conn, backend *pgproto3.Backend, m *pgproto3.StartupMessage, overLimit, encrypted bool) (*client, error) {
+	c, err := s.openSession(conn, backend, m, overLimit, encrypted)
 	if err != nil {
 		refusal := rosemary.AsRefusal(err, rosemary.OutcomeNotRun)
 		backend.Send(errorResponse(refusal, "FATAL"))
@@ -92,19 +93,19 @@
 		return nil, err
 	}
 	s.register(c)
-	c.greet()
+	c.sendStartupResponse()
 	if err := c.flush(); err != nil {
-		s.forget(c)
+		s.unregister(c)
 		return nil, trace.Wrap(err)
 	}
 	_ = conn.SetDeadline(time.Time{})
 	return c, nil
 }
 
-// admit checks who calls and opens the session. The error is a
-// *rosemary.Refusal, or that of the connection.
-func (s *Server) admit(conn net.Conn, backend *pgproto3.Backend, m *pgproto3.StartupMessage, full, encrypted bool) (*caller, error) {
-	if err := s.mayEnter(full, encrypted); err != nil {
+// openSession authenticates the client and opens its session. The error is a
+// *rosemary.Refusal or that of the connection.
+func (s *Server) openSession(conn net.Conn, backend *pgproto3.Backend, m *pgproto3.StartupMessage, overLimit, encrypted bool) (*client, error) {
+	if err := s.checkAccepting(overLimit, encrypted); err != nil {
 		return nil, err
 	}
 	tenant, err := s.authenticate(backend, m.Parameters["user"])
@@ -116,13 +117,14 @@
 		database = tenant.Name
 	}
 	router, found := s.config.Directory.Router(database)
-	if !found || !allows(tenant, database) {
-		return nil, refuse(rosemary.KindUnknownDatabase, "database "+quote(database)+" is unknown or not open to "+quote(tenant.Name),
+	if !found || !mayUseDatabase(tenant, database) {
+		return nil, refuse(rosemary.KindUnknownDatabase, "database "+quote(database)+" does not exist or is not allowed for tenant "+quote(tenant.Name),
 			"check the database name and the tenant's Databases")
 	}
-	c := newCaller(s, conn, backend, tenant, router, rosesession.NewSession(tenant.Name, database))
+	c := newClient(s, conn, backend, tenant, router, rosesession.NewSession(tenant.Name, database))
 	given := startupSettings(m.Parameters)
-	// The order puts the session's name before its token.
+	// Sorted order sets rosemary.session before rosemary.token, because setting
+	// another name discards the token's position.
 	for _, name := range slices.Sorted(maps.Keys(given)) {
 		if err := c.set(name, given[name]); err != nil {
 			return nil, err
@@ -131,19 +133,19 @@
 	return c, nil
 }
 
-func (s *Server) mayEnter(full, encrypted bool) error {
+func (s *Server) checkAccepting(overLimit, encrypted bool) error {
 	switch {
 	case s.Draining():
-		return refuse(rosemary.KindDraining, "this proxy is shutting down", "connect again; the balancer has others")
-	case full:
-		return refuse(rosemary.KindOverloaded, "this proxy has no place for another caller", "connect again later")
+		return refuse(rosemary.KindDraining, "this proxy is shutting down", "reconnect; the load balancer will choose another proxy")
+	case overLimit:
+		return refuse(rosemary.KindOverloaded, "this proxy has reached its limit of connections", "reconnect later")
 	case s.config.RequireTLS && !encrypted:
 		return refuse(rosemary.KindAuthentication, "this proxy accepts encrypted connections only", "connect with sslmode=require")
 	}
 	return nil
 }
 
-func allows(tenant rosemary.Tenant, database string) bool {
+func mayUseDatabase(tenant rosemary.Tenant, database string) bool {
 	for _, d := range tenant.Databases {
 		if d == database || d == "*" {
 			return true
@@ -152,8 +154,8 @@
 	return false
 }
 
-// startupSettings returns the proxy's settings given at startup, directly or
-// as "-c name=value" in options.
+// startupSettings returns the settings given at startup, as parameters or as
+// "-c name=value" or "--name=value" in options.
 func startupSettings(parameters map[string]string) map[string]string {
 	settings := make(map[string]string)
 	fields := strings.Fields(parameters["options"])
@@ -174,14 +176,14 @@
 		settings[strings.ToLower(name)] = value
 	}
 	for name := range settings {
-		if !startupSetting(name) {
+		if !isStartupSetting(name) {
 			delete(settings, name)
 		}
 	}
 	return settings
 }
 
-func startupSetting(name string) bool {
+func isStartupSetting(name string) bool {
 	return strings.HasPrefix(name, "rosemary.") || trackedSettings[name]
 }
 
--- a/internal/rosefront/handshake_test.go
+++ b/internal/rosefront/handshake_test.go
@@ -24,7 +24,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesession"
 )
 
-// directory knows one tenant and one database without targets.
+// directory has one tenant and one database without targets.
 type directory struct {
 	verifier string
 }
@@ -59,17 +59,17 @@
 	return listener.Addr().String()
 }
 
-func login(address, user, password, database, mode string) error {
+func login(address, user, password, database, sslMode string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	conn, err := pgconn.Connect(ctx, "postgres://"+user+":"+password+"@"+address+"/"+database+"?sslmode="+mode)
+	conn, err := pgconn.Connect(ctx, "postgres://"+user+":"+password+"@"+address+"/"+database+"?sslmode="+sslMode)
 	if err == nil {
 		_ = conn.Close(ctx)
 	}
 	return err
 }
 
-func certificate(c *qt.C) tls.Certificate {
+func newCertificate(c *qt.C) tls.Certificate {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	c.Assert(err, qt.IsNil)
 	template := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour)}
@@ -82,7 +82,7 @@
 	c := qt.New(t)
 	plain := serve(t, func(*rosefront.Config) {})
 	encrypted := serve(t, func(config *rosefront.Config) {
-		config.TLS = &tls.Config{Certificates: []tls.Certificate{certificate(c)}, MinVersion: tls.VersionTLS12}
+		config.TLS = &tls.Config{Certificates: []tls.Certificate{newCertificate(c)}, MinVersion: tls.VersionTLS12}
 		config.RequireTLS = true
 	})
 	for _, test := range []struct {
@@ -109,12 +109,12 @@
 	}
 }
 
-func TestTooManyCallersAreToldSo(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	c := qt.New(t)
 	address := serve(t, func(config *rosefront.Config) { config.MaxCallers = 1 })
-	held, err := net.Dial("tcp", address)
+	idle, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
-	defer held.Close()
+	defer idle.Close()
 	var refused *pgconn.PgError
 	for !errors.As(login(address, "clerk", "s3cret", "db", "disable"), &refused) {
 		continue
@@ -122,8 +122,8 @@
 	c.Check(refused.Code, qt.Equals, "53000")
 }
 
-// FuzzFirstBytes sends whatever a caller may begin with: the server must end
-// the connection, and go on serving others.
+// FuzzFirstBytes sends arbitrary first bytes. The server must close the
+// connection and continue to serve other clients.
 func FuzzFirstBytes(f *testing.F) {
 	for _, seed := range []string{
 		"", "GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x08\x04\xd2\x16\x2f", "\x00\x00\x00\x04",
--- a/internal/rosefront/metrics.go
+++ b/internal/rosefront/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// outcomeAnswered is the outcome of a request that got its answer.
+// outcomeAnswered is the outcome label of a request that was not refused.
 const outcomeAnswered = "answered"
 
-// Metrics counts what callers asked and got.
+// Metrics holds the metrics of requests.
 type Metrics struct {
 	set *metrics.Set
 
@@ -24,12 +24,12 @@
 	return &Metrics{set: metrics.NewSet(), answered: make(map[servedClass]uint64)}
 }
 
-// Set returns the underlying set, for writing it out.
+// Set returns the underlying set, for export.
 func (m *Metrics) Set() *metrics.Set { return m.set }
 
-// observe records one answered request. Served is "replica", "primary" or
-// "none".
-func (m *Metrics) observe(tenant, class, served, outcome string, d time.Duration) {
+// observeRequest records an answered or refused request. Served is "replica",
+// "primary", "proxy" or "none".
+func (m *Metrics) observeRequest(tenant, class, served, outcome string, d time.Duration) {
 	labels := fmt.Sprintf(`{tenant=%q,class=%q}`, tenant, class)
 	m.set.GetOrCreateHistogram("rosemary_request_seconds" + labels).Update(d.Seconds())
 	m.set.GetOrCreateCounter(fmt.Sprintf(`rosemary_requests_total{tenant=%q,class=%q,served=%q,outcome=%q}`,
@@ -42,18 +42,17 @@
 	m.answered[servedClass{class, served}]++
 }
 
-// observeConfirm records how long a write waited for its quorum.
+// observeConfirm records how long a write waited for its confirmation.
 func (m *Metrics) observeConfirm(tenant string, d time.Duration) {
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`rosemary_confirm_seconds{tenant=%q}`, tenant)).Update(d.Seconds())
 }
 
-// refused counts a refusal of one kind.
-func (m *Metrics) refused(tenant, kind, outcome string) {
+func (m *Metrics) countRefusal(tenant, kind, outcome string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`rosemary_refusals_total{tenant=%q,kind=%q,outcome=%q}`, tenant, kind, outcome)).Inc()
 }
 
-// Answered returns the number of requests of a class that one kind of target
-// answered, over all tenants.
+// Answered returns the number of requests of a class that were answered, over
+// all tenants. Served is as in observeRequest.
 func (m *Metrics) Answered(class, served string) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/rosefront/prepared.go
+++ b/internal/rosefront/prepared.go
@@ -13,20 +13,21 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-// maxPreparedPerCaller bounds the statements that a caller has prepared.
-const maxPreparedPerCaller = 1000
+// maxPreparedPerClient bounds the prepared statements of a session.
+const maxPreparedPerClient = 1000
 
-// preparedStatement is a statement that a caller prepared by the protocol. It
-// follows the session: each target connection prepares it under serverName.
+// preparedStatement is a statement that a client prepared through the extended
+// query protocol. It belongs to the session: each target connection prepares it
+// under serverName.
 type preparedStatement struct {
-	query      string
-	oids       []uint32
-	serverName string
-	script     rosestatement.Script
+	query         string
+	parameterOIDs []uint32
+	serverName    string
+	script        rosestatement.Script
 }
 
 func newPreparedStatement(m *pgproto3.Parse) *preparedStatement {
-	p := &preparedStatement{query: m.Query, oids: m.ParameterOIDs, script: rosestatement.Scan(m.Query)}
+	p := &preparedStatement{query: m.Query, parameterOIDs: m.ParameterOIDs, script: rosestatement.Scan(m.Query)}
 	if m.Name == "" {
 		return p
 	}
@@ -41,22 +42,24 @@
 
 // parse returns the message that prepares the statement at a target.
 func (p *preparedStatement) parse() *pgproto3.Parse {
-	return &pgproto3.Parse{Name: p.serverName, Query: p.query, ParameterOIDs: p.oids}
+	return &pgproto3.Parse{Name: p.serverName, Query: p.query, ParameterOIDs: p.parameterOIDs}
 }
 
-// reply is an answer that is expected from the target, or made here.
+// reply is a response expected from the target, or one that the proxy sends
+// itself.
 type reply struct {
-	// request is the type of the message that is answered.
-	request byte
-	// hidden answers belong to messages that the proxy added.
+	// requestType is the type of the message that the reply answers.
+	requestType byte
+	// hidden replies answer messages that the proxy added.
 	hidden bool
-	// local is sent in place of an answer of the target.
+	// local is sent to the client without a message to the target.
 	local pgproto3.BackendMessage
-	// prepares names the statement that the answer is about.
+	// prepares is the name of the statement that is prepared once the reply
+	// arrives.
 	prepares string
 }
 
-// Types of messages in reply.
+// Message types for requestType.
 const (
 	replyParse    = 'P'
 	replyBind     = 'B'
@@ -65,20 +68,21 @@
 	replyClose    = 'C'
 )
 
-// translation is a batch as it goes to one connection.
+// translation is a batch rewritten for one connection.
 type translation struct {
 	messages []pgproto3.FrontendMessage
 	replies  []reply
-	// evicts is set when the batch closes statements of other sessions.
-	evicts bool
+	// evicted is set when the batch closes a statement that another session
+	// may have prepared, to make room.
+	evicted bool
 }
 
-// translate rewrites an extended batch for conn, whose prepared statements
-// differ from those that the caller knows.
-func (c *caller) translate(b *batch, conn *rosepool.Conn) (*translation, error) {
+// translate rewrites an extended query batch for conn, whose prepared
+// statements differ from those of the client.
+func (c *client) translate(b *batch, conn *rosepool.Conn) (*translation, error) {
 	t := &translation{}
-	if len(c.prepared) > maxPreparedPerCaller {
-		return nil, refuse(rosemary.KindOverloaded, "the session has too many prepared statements", "close those that aren't used")
+	if len(c.prepared) > maxPreparedPerClient {
+		return nil, refuse(rosemary.KindOverloaded, "the session has too many prepared statements", "close unused statements")
 	}
 	for _, message := range b.messages {
 		switch m := message.(type) {
@@ -86,16 +90,16 @@
 			c.translateParse(t, m, conn)
 		case *pgproto3.Bind:
 			bind := *m
-			bind.PreparedStatement = c.ensure(t, m.PreparedStatement, conn)
-			t.add(&bind, reply{request: replyBind})
+			bind.PreparedStatement = c.ensurePrepared(t, m.PreparedStatement, conn)
+			t.add(&bind, reply{requestType: replyBind})
 		case *pgproto3.Describe:
 			describe := *m
 			if m.ObjectType == 'S' {
-				describe.Name = c.ensure(t, m.Name, conn)
+				describe.Name = c.ensurePrepared(t, m.Name, conn)
 			}
-			t.add(&describe, reply{request: replyDescribe})
+			t.add(&describe, reply{requestType: replyDescribe})
 		case *pgproto3.Execute:
-			t.add(m, reply{request: replyExecute})
+			t.add(m, reply{requestType: replyExecute})
 		case *pgproto3.Close:
 			c.translateClose(t, m)
 		default:
@@ -110,11 +114,11 @@
 	t.replies = append(t.replies, r)
 }
 
-func (c *caller) translateParse(t *translation, m *pgproto3.Parse, conn *rosepool.Conn) {
+func (c *client) translateParse(t *translation, m *pgproto3.Parse, conn *rosepool.Conn) {
 	p := c.prepared[m.Name]
 	if m.Name == "" {
-		c.unnamedOn = conn
-		t.add(p.parse(), reply{request: replyParse})
+		c.unnamedConn = conn
+		t.add(p.parse(), reply{requestType: replyParse})
 		return
 	}
 	if conn.HasPrepared(p.serverName) || t.prepares(p.serverName) {
@@ -122,21 +126,22 @@
 		return
 	}
 	t.evict(conn)
-	t.add(p.parse(), reply{request: replyParse, prepares: p.serverName})
+	t.add(p.parse(), reply{requestType: replyParse, prepares: p.serverName})
 }
 
-// ensure makes a statement known on conn and returns its name there.
-func (c *caller) ensure(t *translation, name string, conn *rosepool.Conn) string {
+// ensurePrepared prepares a statement on conn if needed and returns its name
+// there.
+func (c *client) ensurePrepared(t *translation, name string, conn *rosepool.Conn) string {
 	p := c.prepared[name]
 	switch {
 	case p == nil:
 		return name
-	case name == "" && c.unnamedOn != conn:
-		c.unnamedOn = conn
-		t.add(p.parse(), reply{request: replyParse, hidden: true})
+	case name == "" && c.unnamedConn != conn:
+		c.unnamedConn = conn
+		t.add(p.parse(), reply{requestType: replyParse, hidden: true})
 	case name != "" && !conn.HasPrepared(p.serverName) && !t.prepares(p.serverName):
 		t.evict(conn)
-		t.add(p.parse(), reply{request: replyParse, hidden: true, prepares: p.serverName})
+		t.add(p.parse(), reply{requestType: replyParse, hidden: true, prepares: p.serverName})
 	}
 	return p.serverName
 }
@@ -152,20 +157,20 @@
 		return
 	}
 	conn.RemovePrepared(oldest)
-	t.evicts = true
-	t.add(&pgproto3.Close{ObjectType: 'S', Name: oldest}, reply{request: replyClose, hidden: true})
+	t.evicted = true
+	t.add(&pgproto3.Close{ObjectType: 'S', Name: oldest}, reply{requestType: replyClose, hidden: true})
 }
 
-func (c *caller) translateClose(t *translation, m *pgproto3.Close) {
+func (c *client) translateClose(t *translation, m *pgproto3.Close) {
 	if m.ObjectType != 'S' {
-		t.add(m, reply{request: replyClose})
+		t.add(m, reply{requestType: replyClose})
 		return
 	}
 	delete(c.prepared, m.Name)
 	t.replies = append(t.replies, reply{local: &pgproto3.CloseComplete{}})
 }
 
-// literal quotes text for SQL.
-func literal(text string) string {
+// quoteLiteral returns text as an SQL string literal.
+func quoteLiteral(text string) string {
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
--- a/internal/rosefront/replies.go
+++ b/internal/rosefront/replies.go
@@ -6,7 +6,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosepool"
 )
 
-// replyReader matches the target's messages with the replies expected.
+// replyReader matches the target's messages with the expected replies.
 type replyReader struct {
 	request *request
 	conn    *rosepool.Conn
@@ -14,8 +14,8 @@
 	failed  bool
 }
 
-// take passes on one message of the target, ReadyForQuery excepted.
-func (rr *replyReader) take(message pgproto3.BackendMessage) error {
+// receive forwards one message from the target, except ReadyForQuery.
+func (rr *replyReader) receive(message pgproto3.BackendMessage) error {
 	answer := rr.request.answer
 	rr.sendLocal()
 	switch m := message.(type) {
@@ -24,7 +24,7 @@
 	case *pgproto3.ErrorResponse:
 		rr.failed = true
 		rr.replies = nil
-		rr.request.noteFailure(m)
+		rr.request.recordTargetError(m)
 		answer.send(m)
 		return nil
 	case *pgproto3.CopyInResponse, *pgproto3.CopyOutResponse, *pgproto3.CopyBothResponse:
@@ -38,20 +38,21 @@
 		return nil
 	}
 	if len(rr.replies) == 0 {
-		return errUnexpectedReply
+		return errUnexpectedMessage
 	}
 	head := rr.replies[0]
 	if !head.hidden {
 		answer.send(message)
 	}
-	if head.endedBy(message) {
-		rr.note(head)
+	if head.endsWith(message) {
+		rr.recordPrepared(head)
 		rr.replies = rr.replies[1:]
 	}
 	return nil
 }
 
-// sendLocal answers what the target wasn't asked.
+// sendLocal sends the replies that the proxy gives itself, up to the next one
+// expected from the target.
 func (rr *replyReader) sendLocal() {
 	for len(rr.replies) > 0 && rr.replies[0].local != nil {
 		rr.request.answer.send(rr.replies[0].local)
@@ -59,14 +60,14 @@
 	}
 }
 
-func (rr *replyReader) note(r reply) {
+func (rr *replyReader) recordPrepared(r reply) {
 	if r.prepares != "" {
 		rr.conn.AddPrepared(r.prepares)
 	}
 }
 
-// endedBy reports whether message is the last one of the reply.
-func (r reply) endedBy(message pgproto3.BackendMessage) bool {
+// endsWith reports whether message is the last one of the reply.
+func (r reply) endsWith(message pgproto3.BackendMessage) bool {
 	switch message.(type) {
 	case *pgproto3.DataRow, *pgproto3.ParameterDescription:
 		return false
@@ -74,7 +75,7 @@
 	return true
 }
 
-func (r *request) noteFailure(m *pgproto3.ErrorResponse) {
+func (r *request) recordTargetError(m *pgproto3.ErrorResponse) {
 	failure := *m
-	r.failure = &failure
+	r.targetError = &failure
 }
--- a/internal/rosefront/request.go
+++ b/internal/rosefront/request.go
@@ -11,77 +11,80 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-var errAnswerTooLarge = errors.New("the answer of a write is too large to be held for its confirmation")
+var errAnswerTooLarge = errors.New("the answer to a write is too large to buffer until the write is confirmed")
 
-// handler serves a request. Its error is a *rosemary.Refusal; an error that
-// the target answered is part of the request's answer instead.
+// handler serves a request. Its error is a *rosemary.Refusal; errors from the
+// target are part of the request's answer instead.
 type handler func(ctx context.Context, r *request) error
 
 // filter wraps a handler.
 type filter func(s *Server, next handler) handler
 
-// buildChain returns the handler that all requests pass.
+// buildChain returns the handler of all requests. The last filter of the list
+// runs first.
 func buildChain(s *Server) handler {
 	chain := handler(execute)
-	for _, f := range []filter{claimFilter, confirmFilter, retryFilter, floorFilter, localFilter, checkFilter} {
+	for _, f := range []filter{claimFilter, confirmFilter, retryFilter, minPositionFilter, localFilter, checkFilter} {
 		chain = f(s, chain)
 	}
 	return chain
 }
 
-// request is one batch on its way through the chain.
+// request is a batch that is being served.
 type request struct {
-	caller     *caller
-	batch      *batch
-	statements []rosestatement.Statement
-	tags       rosestatement.Tags
-	class      rosemary.Class
-	classError error
-	id         string
-	claim      claimPlan
-	executes   bool
-	answer     *answer
-
-	// forcePrimary is set once a replica refused the request as a write.
+	client         *client
+	batch          *batch
+	statements     []rosestatement.Statement
+	tags           rosestatement.Tags
+	class          rosemary.Class
+	classError     error
+	requestID      string
+	claimPlacement claimPlacement
+	executes       bool
+	answer         *answer
+
+	// forcePrimary is set once a read-only target refused the request as a
+	// write.
 	forcePrimary bool
-	// served tells the kind of target that answered.
+	// served is the server that answered, as in Metrics.observeRequest.
 	served string
-	// failure is the error that the target answered.
-	failure *pgproto3.ErrorResponse
-	// committed is the position of what the request wrote.
+	// targetError is the error that the target returned.
+	targetError *pgproto3.ErrorResponse
+	// committed is the position of the request's writes.
 	committed rosemary.Position
-	// claimRefused is set when the request's identifier was claimed before.
-	claimRefused string
+	// claimedOutcome is the outcome of the first run if the request's
+	// identifier was already claimed.
+	claimedOutcome string
 }
 
-func newRequest(c *caller, b *batch) *request {
-	r := &request{caller: c, batch: b, answer: &answer{caller: c}}
+func newRequest(c *client, b *batch) *request {
+	r := &request{client: c, batch: b, answer: &answer{client: c}}
 	if router, found := c.server.config.Directory.Router(c.session.Database); found {
 		c.router = router
 	}
 	r.scan()
-	r.class, r.classError = r.findClass()
-	r.id = r.tags.RequestID
-	if r.id == "" {
-		r.id = c.requestID
+	r.class, r.classError = r.resolveClass()
+	r.requestID = r.tags.RequestID
+	if r.requestID == "" {
+		r.requestID = c.requestID
 	}
 	return r
 }
 
-// scan collects the statements that the batch is about.
+// scan collects the statements of the batch.
 func (r *request) scan() {
 	for _, message := range r.batch.messages {
 		switch m := message.(type) {
 		case *pgproto3.Query:
-			r.note(rosestatement.Scan(m.String))
+			r.addScript(rosestatement.Scan(m.String))
 			r.executes = true
 		case *pgproto3.Parse:
 			p := newPreparedStatement(m)
-			r.caller.prepared[m.Name] = p
-			r.note(p.script)
+			r.client.prepared[m.Name] = p
+			r.addScript(p.script)
 		case *pgproto3.Bind:
-			if p := r.caller.prepared[m.PreparedStatement]; p != nil {
-				r.note(p.script)
+			if p := r.client.prepared[m.PreparedStatement]; p != nil {
+				r.addScript(p.script)
 			}
 		case *pgproto3.Execute:
 			r.executes = true
@@ -89,7 +92,7 @@
 	}
 }
 
-func (r *request) note(script rosestatement.Script) {
+func (r *request) addScript(script rosestatement.Script) {
 	r.statements = append(r.statements, script.Statements...)
 	if r.tags.Class == "" {
 		r.tags.Class = script.Tags.Class
@@ -99,11 +102,11 @@
 	}
 }
 
-func (r *request) findClass() (rosemary.Class, error) {
-	c := r.caller
+func (r *request) resolveClass() (rosemary.Class, error) {
+	c := r.client
 	standard := rosemary.DefaultClass(c.server.config.DefaultDeadline)
 	if c.lease != nil {
-		return c.transaction, nil
+		return c.transactionClass, nil
 	}
 	name := r.tags.Class
 	if name == "" {
@@ -122,8 +125,8 @@
 	return class, nil
 }
 
-// has reports whether one of the statements is of kind.
-func (r *request) has(kind rosestatement.Kind) bool {
+// hasKind reports whether one of the statements is of the kind.
+func (r *request) hasKind(kind rosestatement.Kind) bool {
 	for _, s := range r.statements {
 		if s.Kind() == kind {
 			return true
@@ -132,8 +135,8 @@
 	return false
 }
 
-// all reports whether there are statements and each is of one of kinds.
-func (r *request) all(kinds ...rosestatement.Kind) bool {
+// allOfKinds reports whether there are statements and all are of the kinds.
+func (r *request) allOfKinds(kinds ...rosestatement.Kind) bool {
 	for _, s := range r.statements {
 		found := false
 		for _, k := range kinds {
@@ -146,20 +149,20 @@
 	return len(r.statements) > 0
 }
 
-// mayRepeat reports whether the request may be sent again although it may
-// have run.
+// mayRepeat reports whether the request may be retried even if it may have run.
 func (r *request) mayRepeat() bool {
 	return !r.forcePrimary && (r.class.ReadOnly || r.class.Idempotent || !r.executes)
 }
 
-// ends reports whether the batch ends with ReadyForQuery.
-func (r *request) ends() bool { return !r.batch.flush }
+// isLastPart reports whether the batch ends the request, so that ReadyForQuery
+// follows.
+func (r *request) isLastPart() bool { return !r.batch.flush }
 
 func (r *request) flow() roseadmit.Flow {
 	return roseadmit.Flow{
-		Tenant: r.caller.tenant.Name,
+		Tenant: r.client.tenant.Name,
 		Class:  r.class.Name,
-		Weight: max(r.caller.tenant.Weight, 1) * max(r.class.Weight, 1),
+		Weight: max(r.client.tenant.Weight, 1) * max(r.class.Weight, 1),
 	}
 }
 
@@ -170,30 +173,31 @@
 	return r.served
 }
 
-// reset prepares for another try.
+// reset prepares for another attempt.
 func (r *request) reset() {
 	r.answer.reset()
-	r.failure = nil
+	r.targetError = nil
 	r.committed = rosemary.Position{}
-	r.claimRefused = ""
+	r.claimedOutcome = ""
 }
 
-// fail puts a refusal in the place of what the answer still holds.
-func (r *request) fail(err error) {
+// sendRefusal replaces the buffered answer by a refusal.
+func (r *request) sendRefusal(err error) {
 	refusal := rosemary.AsRefusal(err, rosemary.OutcomeUnknown)
 	r.answer.reset()
-	r.answer.hold = false
+	r.answer.holdCompletion = false
 	r.answer.send(errorResponse(refusal, "ERROR"))
-	if !r.ends() {
+	if !r.isLastPart() {
 		r.batch.skipping = true
 		return
 	}
-	r.ready()
+	r.sendReady()
 }
 
-// ready ends the answer with the session's new token and its state.
-func (r *request) ready() {
-	c := r.caller
+// sendReady ends the answer with the session's token, if it changed, and the
+// transaction status.
+func (r *request) sendReady() {
+	c := r.client
 	if token := c.server.config.Keys.Sign(c.session); token != c.token {
 		c.token = token
 		r.answer.send(&pgproto3.ParameterStatus{Name: settingToken, Value: token})
@@ -201,10 +205,10 @@
 	r.answer.send(&pgproto3.ReadyForQuery{TxStatus: c.txStatus()})
 }
 
-// txStatus is what the caller is told of its transaction.
-func (c *caller) txStatus() byte {
+// txStatus is the transaction status for ReadyForQuery.
+func (c *client) txStatus() byte {
 	switch {
-	case c.blockFailed:
+	case c.transactionLost:
 		return 'E'
 	case c.lease != nil:
 		return c.lease.Conn.TxStatus()
--- a/internal/rosefront/server.go
+++ b/internal/rosefront/server.go
@@ -1,6 +1,6 @@
-// Package rosefront serves callers over PostgreSQL's protocol: it keeps their
-// sessions, sends each request through a chain of filters to a target, and
-// answers with the whole result or a typed refusal.
+// Package rosefront serves clients over the PostgreSQL protocol. It holds their
+// sessions, passes each request through a chain of filters to a target, and
+// answers with the result or a typed refusal.
 package rosefront
 
 import (
@@ -23,69 +23,72 @@
 )
 
 const (
-	// handshakeTimeout bounds the time to a caller's first request.
+	// handshakeTimeout bounds the time until the session is open.
 	handshakeTimeout = 10 * time.Second
-	// writeTimeout bounds the wait for a caller that doesn't read.
+	// writeTimeout bounds the wait for a client that doesn't read.
 	writeTimeout = 30 * time.Second
 	// cancelTimeout bounds the delivery of a cancel request to a target.
 	cancelTimeout = 2 * time.Second
-	// idleTransactionLimit ends a transaction whose caller is silent.
-	idleTransactionLimit = time.Minute
-	// defaultMaxMessageBytes bounds one message from a caller.
+	// idleTransactionTimeout is the time after which a transaction without
+	// messages from its client is rolled back.
+	idleTransactionTimeout = time.Minute
 	defaultMaxMessageBytes = 16 << 20
-	// acceptPause follows a failed accept.
-	acceptPause = 10 * time.Millisecond
+	// acceptRetryDelay is the pause after a failed accept.
+	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Directory answers what the configuration in force says. Its answers may
-// change from call to call.
+// Directory looks up the configuration in force. Its results may change between
+// calls.
 type Directory interface {
-	// Tenant returns the tenant of that name.
+	// Tenant returns the tenant with the given name.
 	Tenant(name string) (rosemary.Tenant, bool)
-	// Class returns the class of that name.
+	// Class returns the class with the given name.
 	Class(name string) (rosemary.Class, bool)
-	// Router returns the router of that database.
+	// Router returns the router of the database.
 	Router(database string) (*roseroute.Router, bool)
 }
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
 	Directory Directory
 	Keys      *rosesession.Keys
-	// TLS serves encrypted callers; nil refuses encryption.
+	// TLS is the configuration of encrypted connections; nil disables
+	// encryption.
 	TLS *tls.Config
-	// RequireTLS refuses callers without encryption.
+	// RequireTLS refuses clients without encryption.
 	RequireTLS bool
-	// MaxCallers bounds the connections of callers.
+	// MaxCallers bounds the client connections; zero means no limit.
 	MaxCallers int
-	// MaxMessageBytes bounds one message from a caller.
+	// MaxMessageBytes bounds one message from a client; zero means 16 MiB.
 	MaxMessageBytes int
-	// DefaultDeadline is that of statements without a class.
+	// DefaultDeadline applies to requests without a class and to classes
+	// without a deadline; zero means 10 s.
 	DefaultDeadline time.Duration
-	// AcknowledgeOnPrimary answers a write on the primary's word alone. It
-	// is unsafe, and serves as the baseline that history checks must catch.
+	// AcknowledgeOnPrimary answers a write as soon as the primary has it,
+	// without waiting for a quorum. It is unsafe; the load tool uses it as the
+	// baseline whose lost writes its checks must detect.
 	AcknowledgeOnPrimary bool
-	// ForwardCancel passes a cancel request for an unknown key to the peers.
+	// ForwardCancel forwards a cancel request with an unknown key to the peers.
 	ForwardCancel func(pid, secret uint32)
 	Metrics       *Metrics
 }
 
-// Server accepts callers. Its methods may be called concurrently.
+// Server serves clients. Its methods may be called concurrently.
 type Server struct {
-	config  Config
-	chain   handler
-	budget  *roseadmit.RetryBudget
-	sockets atomic.Int64
-	tasks   sync.WaitGroup
+	config      Config
+	chain       handler
+	retryBudget *roseadmit.RetryBudget
+	connections atomic.Int64
+	tasks       sync.WaitGroup
 
 	drainOnce sync.Once
 	draining  chan struct{}
 
 	mu      sync.Mutex
-	callers map[uint32]*caller
+	clients map[uint32]*client
 }
 
-// NewServer returns a server that accepts nothing yet.
+// NewServer returns a server; Serve starts it.
 func NewServer(config Config) *Server {
 	if config.MaxMessageBytes == 0 {
 		config.MaxMessageBytes = defaultMaxMessageBytes
@@ -97,16 +100,16 @@
 		config.Metrics = NewMetrics()
 	}
 	s := &Server{
-		config:   config,
-		budget:   roseadmit.NewRetryBudget(),
-		draining: make(chan struct{}),
-		callers:  make(map[uint32]*caller),
+		config:      config,
+		retryBudget: roseadmit.NewRetryBudget(),
+		draining:    make(chan struct{}),
+		clients:     make(map[uint32]*client),
 	}
 	s.chain = buildChain(s)
 	return s
 }
 
-// Serve accepts callers from listener until it is closed.
+// Serve accepts clients from listener until it is closed.
 func (s *Server) Serve(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
@@ -115,7 +118,7 @@
 		}
 		if err != nil {
 			klog.InfoS("accept failed", "err", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		s.tasks.Go(func() { s.serveConn(conn) })
@@ -124,10 +127,10 @@
 
 func (s *Server) serveConn(conn net.Conn) {
 	defer conn.Close()
-	open := s.sockets.Add(1)
-	defer s.sockets.Add(-1)
-	full := s.config.MaxCallers > 0 && open > int64(s.config.MaxCallers)
-	c, err := s.handshake(conn, full)
+	open := s.connections.Add(1)
+	defer s.connections.Add(-1)
+	overLimit := s.config.MaxCallers > 0 && open > int64(s.config.MaxCallers)
+	c, err := s.handshake(conn, overLimit)
 	if err != nil {
 		klog.V(1).InfoS("handshake ended", "remote", conn.RemoteAddr().String(), "err", err)
 		return
@@ -135,12 +138,12 @@
 	if c == nil {
 		return
 	}
-	defer s.forget(c)
+	defer s.unregister(c)
 	c.run()
 }
 
-// register gives the caller a cancel key.
-func (s *Server) register(c *caller) {
+// register assigns the client a cancel key.
+func (s *Server) register(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
@@ -148,24 +151,24 @@
 		_, _ = rand.Read(random[:])
 		c.pid = binary.BigEndian.Uint32(random[:4]) >> 1
 		c.secret = binary.BigEndian.Uint32(random[4:])
-		if _, taken := s.callers[c.pid]; !taken {
-			s.callers[c.pid] = c
+		if _, taken := s.clients[c.pid]; !taken {
+			s.clients[c.pid] = c
 			return
 		}
 	}
 }
 
-func (s *Server) forget(c *caller) {
+func (s *Server) unregister(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.callers, c.pid)
+	delete(s.clients, c.pid)
 }
 
-// Cancel cancels the statement of the caller with that key, if this server
-// has it. It reports whether it does.
+// Cancel cancels the running statement of the client with that key. It reports
+// whether this server has the client.
 func (s *Server) Cancel(pid, secret uint32) bool {
 	s.mu.Lock()
-	c := s.callers[pid]
+	c := s.clients[pid]
 	s.mu.Unlock()
 	if c == nil || c.secret != secret {
 		return false
@@ -174,11 +177,11 @@
 	return true
 }
 
-// Callers returns the number of callers now.
+// Callers returns the number of connected clients.
 func (s *Server) Callers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.callers)
+	return len(s.clients)
 }
 
 // Draining reports whether Drain was called.
@@ -191,14 +194,14 @@
 	}
 }
 
-// Drain ends every session at its next transaction border, after what is in
-// flight was answered. It returns once all are gone, or with ctx's error.
-// The caller has closed the listeners before.
+// Drain ends every session outside a transaction, once its request has been
+// answered. It returns when all sessions have ended, or with ctx's error. The
+// listeners must be closed before.
 func (s *Server) Drain(ctx context.Context) error {
 	s.drainOnce.Do(func() { close(s.draining) })
 	s.mu.Lock()
-	for _, c := range s.callers {
-		c.interruptIdle()
+	for _, c := range s.clients {
+		c.drain()
 	}
 	s.mu.Unlock()
 	done := make(chan struct{})
@@ -214,11 +217,12 @@
 	}
 }
 
-// CloseConnections closes every caller's connection at once, as the death of the VM would.
+// CloseConnections closes all client connections immediately, as if the VM had
+// failed.
 func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.callers {
-		c.kill()
+	for _, c := range s.clients {
+		c.closeConn()
 	}
 }
--- a/internal/rosefront/settings.go
+++ b/internal/rosefront/settings.go
@@ -7,8 +7,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// trackedSettings are the session settings that the proxy carries from one
-// target connection to the next.
+// trackedSettings are the session settings that the proxy carries over between
+// target connections.
 var trackedSettings = map[string]bool{
 	"application_name":                    true,
 	"client_encoding":                     true,
@@ -24,10 +24,11 @@
 	"timezone":                            true,
 }
 
-// settings are a session's own values of tracked settings.
+// settings are the session's values of tracked settings.
 type settings map[string]string
 
-// fingerprint tells whether a connection has the same settings applied.
+// fingerprint identifies the settings, to compare them with those applied to a
+// connection.
 func (s settings) fingerprint() string {
 	if len(s) == 0 {
 		return ""
@@ -35,7 +36,7 @@
 	return s.script()
 }
 
-// script returns the SQL that gives a connection these settings.
+// script returns the SQL that applies the settings to a connection.
 func (s settings) script() string {
 	names := make([]string, 0, len(s))
 	for name := range s {
@@ -50,8 +51,8 @@
 	return b.String()
 }
 
-// set changes one of the proxy's settings or a tracked one.
-func (c *caller) set(name, value string) error {
+// set changes a setting of the proxy or a tracked setting.
+func (c *client) set(name, value string) error {
 	switch name {
 	case settingToken:
 		session, err := c.server.config.Keys.Verify(value, c.tenant.Name, c.session.Database)
@@ -82,11 +83,11 @@
 		return refuse(rosemary.KindUnsupported, "the proxy has no setting "+quote(name),
 			"use rosemary.token, rosemary.session, rosemary.class or rosemary.request")
 	}
-	return refuse(rosemary.KindUnsupported, "the session setting "+quote(name)+" can't follow the session to another connection",
-		"use SET LOCAL in a transaction, or set it for the role at the database")
+	return refuse(rosemary.KindUnsupported, "the session setting "+quote(name)+" can't be carried over to another connection",
+		"use SET LOCAL in a transaction, or set it for the database role at the target")
 }
 
-func (c *caller) setClass(name string) error {
+func (c *client) setClass(name string) error {
 	if name != "" && name != "default" {
 		if _, found := c.server.config.Directory.Class(name); !found {
 			return unknownClass(name)
@@ -97,11 +98,11 @@
 }
 
 func unknownClass(name string) error {
-	return refuse(rosemary.KindUnknownClass, "class "+quote(name)+" is not declared", "declare it in the bundle, or name one that is")
+	return refuse(rosemary.KindUnknownClass, "class "+quote(name)+" is not declared", "declare it in the bundle, or use a declared class")
 }
 
-// show returns the value of one of the proxy's settings.
-func (c *caller) show(name string) (string, error) {
+// show returns the value of a setting of the proxy.
+func (c *client) show(name string) (string, error) {
 	switch name {
 	case settingToken:
 		return c.server.config.Keys.Sign(c.session), nil
--- a/internal/rosefront/settle.go
+++ b/internal/rosefront/settle.go
@@ -8,42 +8,43 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-// settle decides what becomes of the connection and what the caller is told.
-func (e *execution) settle(ctx context.Context, err error) error {
+// finish pins or releases the connection, or handles the error.
+func (e *execution) finish(ctx context.Context, err error) error {
 	if err != nil {
-		return e.settleFailure(ctx, err)
+		return e.finishFailed(ctx, err)
 	}
-	c, conn := e.request.caller, e.lease.Conn
-	open := conn.TxStatus() != 'I' || !e.request.ends()
+	c, conn := e.request.client, e.lease.Conn
+	open := conn.TxStatus() != 'I' || !e.request.isLastPart()
 	switch {
 	case open && c.lease == nil:
-		c.transaction = e.request.class
+		c.transactionClass = e.request.class
 		c.pin(e.lease)
-		c.tainted = e.cancelled
+		c.cancelPending = e.cancelled
 	case open:
-		c.tainted = c.tainted || e.cancelled
+		c.cancelPending = c.cancelPending || e.cancelled
 	case c.lease != nil:
-		c.tainted = c.tainted || e.cancelled
+		c.cancelPending = c.cancelPending || e.cancelled
 		c.unpin()
 	default:
 		if e.cancelled {
 			conn.Close()
 		}
-		c.claimed = ""
+		c.claimedID = ""
 		e.lease.Release(true)
 	}
 	return nil
 }
 
-// settleFailure gives up the connection and tells what is known.
-func (e *execution) settleFailure(ctx context.Context, err error) error {
+// finishFailed closes the connection and returns a refusal with the outcome
+// known so far.
+func (e *execution) finishFailed(ctx context.Context, err error) error {
 	r := e.request
-	c := r.caller
-	written := e.bodySent && e.lease.Conn.Written()
+	c := r.client
+	written := e.requestSent && e.lease.Conn.Written()
 	e.lease.Conn.Close()
 	if c.lease != nil {
 		c.unpin()
-		c.blockFailed = e.inBlock && !r.has(rosestatement.KindEnd)
+		c.transactionLost = e.inTransaction && !r.hasKind(rosestatement.KindEnd)
 	} else {
 		e.lease.Release(false)
 	}
@@ -71,19 +72,20 @@
 	}
 }
 
-// outcome tells what a lost connection proves. A transaction that wasn't asked
-// to commit is rolled back with its connection.
+// outcome returns whether the request may have taken effect on a lost
+// connection. A transaction without a COMMIT is rolled back with its
+// connection.
 func (e *execution) outcome(written bool) rosemary.Outcome {
 	r := e.request
-	ended := r.has(rosestatement.KindEnd)
+	ended := r.hasKind(rosestatement.KindEnd)
 	switch {
 	case !written:
 		return rosemary.OutcomeNotRun
-	case e.inBlock && !ended:
+	case e.inTransaction && !ended:
 		return rosemary.OutcomeNotRun
-	case !r.executes && !e.partial() || !r.ends():
+	case !r.executes && !e.hasEarlierParts() || !r.isLastPart():
 		return rosemary.OutcomeNotRun
-	case r.all(rosestatement.KindBegin):
+	case r.allOfKinds(rosestatement.KindBegin):
 		return rosemary.OutcomeNotRun
 	}
 	return rosemary.OutcomeUnknown
@@ -93,5 +95,5 @@
 	if outcome == rosemary.OutcomeNotRun {
 		return "retry"
 	}
-	return "ask with rosemary.outcome(request), or read the row before a retry"
+	return "query rosemary.outcome(request), or read the row before a retry"
 }
