--- a/internal/rosedaemon/admin.go
+++ b/internal/rosedaemon/admin.go
@@ -12,7 +12,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// State is what a proxy tells operators of itself.
+// State is the state of a proxy, for operators.
 type State struct {
 	Name     rosemary.ProxyID
 	Zone     rosemary.Zone
@@ -24,16 +24,16 @@
 	Peers    []PeerState
 }
 
-// BundleState is the bundle in force.
+// BundleState describes the bundle in force.
 type BundleState struct {
 	Version uint64
 	Digest  string
 	Since   time.Time
-	// Refused tells why the last bundle seen was refused.
+	// LastError is why the last bundle seen was refused.
 	LastError string `json:"Refused,omitempty"`
 }
 
-// GroupState is one database.
+// GroupState is the state of a database's group.
 type GroupState struct {
 	Database  string
 	Term      uint64
@@ -42,7 +42,7 @@
 	Targets   []TargetState
 }
 
-// TargetState is one target as this proxy sees it.
+// TargetState is the state of a target as this proxy sees it.
 type TargetState struct {
 	ID          rosemary.TargetID
 	Zone        rosemary.Zone
@@ -58,7 +58,7 @@
 	Limit       int
 }
 
-// PeerState is another proxy as this one sees it.
+// PeerState is the state of another proxy as this one sees it.
 type PeerState struct {
 	Name      rosemary.ProxyID
 	Zone      rosemary.Zone
@@ -67,14 +67,14 @@
 	Version   uint64
 }
 
-// Admin serves health, metrics, state and operators' requests.
+// Admin returns the handler of health, metrics, state and operators' requests.
 func (d *Daemon) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
 	mux.HandleFunc("GET /readyz", d.serveReady)
 	mux.HandleFunc("GET /metrics", d.serveMetrics)
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, d.State()) })
-	mux.HandleFunc("POST /primary/move", d.serveMove)
+	mux.HandleFunc("POST /primary/move", d.serveMovePrimary)
 	mux.HandleFunc("POST /drain", d.serveDrain)
 	return mux
 }
@@ -93,7 +93,7 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// gauges returns what is counted at the time of the request.
+// gauges returns the metrics that are computed for each scrape.
 func (d *Daemon) gauges() *metrics.Set {
 	set := metrics.NewSet()
 	gauge := func(name string, value float64) { set.NewGauge(name, func() float64 { return value }) }
@@ -117,7 +117,7 @@
 	return set
 }
 
-func (d *Daemon) serveMove(w http.ResponseWriter, r *http.Request) {
+func (d *Daemon) serveMovePrimary(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	primary, err := d.MovePrimary(r.Context(), query.Get("database"), rosemary.TargetID(query.Get("target")))
 	if err != nil {
@@ -139,19 +139,19 @@
 	_ = encoder.Encode(value)
 }
 
-// State returns what operators see.
+// State returns the current state.
 func (d *Daemon) State() State {
 	manifest, since := d.updater.Current()
 	state := State{
 		Name:     d.config.Name,
 		Zone:     d.config.Zone,
 		Ready:    d.Ready(),
-		Draining: d.front.Draining(),
-		Callers:  d.front.Callers(),
+		Draining: d.server.Draining(),
+		Callers:  d.server.Callers(),
 		Bundle:   BundleState{Version: manifest.Version, Digest: manifest.Digest(), Since: since},
 	}
-	if refused := d.updater.LastError(); refused != nil {
-		state.Bundle.LastError = trace.UserMessage(refused)
+	if err := d.updater.LastError(); err != nil {
+		state.Bundle.LastError = trace.UserMessage(err)
 	}
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/rosedaemon/backend.go
+++ b/internal/rosedaemon/backend.go
@@ -1,5 +1,5 @@
-// Package rosedaemon puts the parts of a proxy together: what serves callers,
-// what follows the groups, and what the operators look at.
+// Package rosedaemon assembles a proxy: the server for clients, the monitoring
+// and supervision of groups, the mesh of peers and the admin interface.
 package rosedaemon
 
 import (
@@ -19,33 +19,33 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesupervisor"
 )
 
-// trimInterval separates looks at connections that have been idle for long.
+// trimInterval is the interval at which long-idle connections are closed.
 const trimInterval = 30 * time.Second
 
 const (
-	// leastWatchWait is how long a target holds a watch without news when
-	// there are few targets.
-	leastWatchWait = 200 * time.Millisecond
-	// watchSpacing is the time that each watched target adds.
-	watchSpacing = 27 * time.Millisecond
+	// minWatchTimeout is how long a target holds a watch whose status doesn't
+	// change, when there are few targets.
+	minWatchTimeout = 200 * time.Millisecond
+	// watchTimeoutPerTarget is the timeout that each watched target adds.
+	watchTimeoutPerTarget = 27 * time.Millisecond
 )
 
-// backend is everything that serves one database.
+// backend holds the components that serve one database.
 type backend struct {
 	database rosebundle.Database
 	group    *rosegroup.Monitor
 	pools    map[rosemary.TargetID]*rosepool.Pool
 	queues   map[rosemary.TargetID]*roseadmit.Queue
 	router   *roseroute.Router
-	// supervisor keeps the group led.
+	// supervisor replaces the group's primary when needed.
 	supervisor *rosesupervisor.Supervisor
-	share      roselend.Quota
+	quota      roselend.Quota
 	loans      map[rosemary.TargetID]loan
 	cancel     context.CancelFunc
 	done       sync.WaitGroup
 }
 
-// newBackend builds and starts what serves a database.
+// newBackend creates and starts the backend of a database.
 func (d *Daemon) newBackend(database rosebundle.Database) *backend {
 	group := database.Group()
 	b := &backend{
@@ -56,19 +56,19 @@
 	}
 	controls := make(map[rosemary.TargetID]rosemary.TargetControl)
 	probes := make(map[rosemary.TargetID]rosemary.TargetControl)
-	b.share = d.divide(group.MaxConnections)
-	share := b.share.Reserved
+	b.quota = d.newQuota(group.MaxConnections)
+	reserved := b.quota.Reserved
 	for _, t := range group.Targets {
 		config := rosepool.Config{
 			Target:      t,
 			Dialer:      d.dialer,
 			Credentials: d.credentials(group.Database),
-			Limit:       share,
+			Limit:       reserved,
 		}
 		b.pools[t.ID] = rosepool.NewPool(config)
 		b.queues[t.ID] = roseadmit.NewQueue(roseadmit.Config{
-			MaxInFlight:     share,
-			OnQueued:        d.noteQueued,
+			MaxInFlight:     reserved,
+			OnQueued:        d.signalQueued,
 			FirstInFirstOut: d.config.Baseline.FirstInFirstOut,
 		})
 		controls[t.ID] = rosepool.NewControl(config)
@@ -78,9 +78,9 @@
 		Group:    group,
 		Controls: controls,
 		Probes:   probes,
-		// The wait grows with what there is to watch, so that watching
-		// stays within its share of the network.
-		WatchTimeout: max(leastWatchWait, time.Duration(d.targets)*watchSpacing),
+		// The timeout grows with the number of targets, so that watches stay
+		// within their share of the network bandwidth.
+		WatchTimeout: max(minWatchTimeout, time.Duration(d.targetCount)*watchTimeoutPerTarget),
 		Leaving:      d.leaving,
 		OnChange:     func(change rosegroup.Change) { d.groupChanged(b, change) },
 	})
@@ -97,12 +97,12 @@
 	return b
 }
 
-// resize takes over limits that changed.
+// resize applies changed connection limits.
 func (b *backend) resize(d *Daemon, database rosebundle.Database) {
 	b.database = database
-	b.share = d.divide(database.Connections)
+	b.quota = d.newQuota(database.Connections)
 	for id := range b.pools {
-		b.limit(id)
+		b.applyLimit(id)
 	}
 }
 
@@ -111,10 +111,10 @@
 	b.cancel = cancel
 	b.done.Go(func() { _ = b.group.Run(ctx) })
 	b.done.Go(func() { b.supervisor.Run(ctx) })
-	b.done.Go(func() { b.trim(ctx) })
+	b.done.Go(func() { b.trimPools(ctx) })
 }
 
-func (b *backend) trim(ctx context.Context) {
+func (b *backend) trimPools(ctx context.Context) {
 	ticker := time.NewTicker(trimInterval)
 	defer ticker.Stop()
 	for {
@@ -129,8 +129,8 @@
 	}
 }
 
-// close stops following the group. Connections in use are closed when they
-// are released.
+// close stops the monitoring of the group. Connections in use are closed when
+// they are released.
 func (b *backend) close() {
 	b.cancel()
 	b.done.Wait()
@@ -139,8 +139,8 @@
 	}
 }
 
-// groupChanged reacts to a change at once: connections to a target that went
-// down or lost its role are not used again.
+// groupChanged handles a change of the group. Pooled connections to a target
+// that went down are not used again.
 func (d *Daemon) groupChanged(b *backend, change rosegroup.Change) {
 	if change.Down != "" {
 		klog.InfoS("target down", "proxy", d.config.Name, "database", change.Database, "target", change.Down)
@@ -150,7 +150,7 @@
 	klog.InfoS("primary changed", "proxy", d.config.Name, "database", change.Database, "primary", change.Primary, "term", change.Term)
 }
 
-func (d *Daemon) divide(connections int) roselend.Quota {
+func (d *Daemon) newQuota(connections int) roselend.Quota {
 	if d.config.Baseline.EvenSplit {
 		return roselend.DivideEvenly(connections, d.config.Proxies)
 	}
--- a/internal/rosedaemon/bench_test.go
+++ b/internal/rosedaemon/bench_test.go
@@ -18,16 +18,15 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesession"
 )
 
-// deafDialer never gets through.
-type deafDialer struct{}
+type unresponsiveDialer struct{}
 
-// Dial waits until its caller gives up.
-func (deafDialer) Dial(ctx context.Context, _ string) (net.Conn, error) {
+// Dial blocks until ctx ends.
+func (unresponsiveDialer) Dial(ctx context.Context, _ string) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func databases(n int) *rosebundle.Content {
+func newContent(n int) *rosebundle.Content {
 	content := &rosebundle.Content{}
 	for i := range n {
 		d := rosebundle.Database{Name: fmt.Sprintf("db%d", i), Slots: 3, Connections: 20}
@@ -39,8 +38,8 @@
 	return content
 }
 
-// BenchmarkBackend reports the memory of one database at a proxy and the
-// processor time of its supervision, without connections to targets.
+// BenchmarkBackend reports the memory that one database takes in a proxy and
+// the CPU time of its supervision, without connections to targets.
 func BenchmarkBackend(b *testing.B) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
@@ -49,27 +48,27 @@
 	c.Assert(err, qt.IsNil)
 	const count = 500
 	for b.Loop() {
-		daemon := rosedaemon.New(rosedaemon.Config{Name: "p", Zone: "a", Proxies: 6, Dialer: deafDialer{}, Keys: keys})
-		before := heap()
-		daemon.Apply(databases(count))
+		daemon := rosedaemon.New(rosedaemon.Config{Name: "p", Zone: "a", Proxies: 6, Dialer: unresponsiveDialer{}, Keys: keys})
+		before := usedMemory()
+		daemon.Apply(newContent(count))
 		time.Sleep(time.Second)
-		b.ReportMetric(float64(heap()-before)/count/1024, "KB/database")
-		used := processorTime()
-		const span = 3 * time.Second
-		time.Sleep(span)
-		b.ReportMetric((processorTime()-used).Seconds()/span.Seconds()/count*100, "cpu%/database")
+		b.ReportMetric(float64(usedMemory()-before)/count/1024, "KB/database")
+		used := cpuTime()
+		const interval = 3 * time.Second
+		time.Sleep(interval)
+		b.ReportMetric((cpuTime()-used).Seconds()/interval.Seconds()/count*100, "cpu%/database")
 		daemon.Close()
 	}
 }
 
-func heap() uint64 {
+func usedMemory() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/internal/rosedaemon/bundle.go
+++ b/internal/rosedaemon/bundle.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// zoneWatchers is the number of proxies of a zone that watch the store:
-	// one and a backup. The others hear of a bundle from their peers.
-	zoneWatchers = 2
-	// recheckInterval separates a watcher's own looks at the store, for a
-	// watch that went silent.
-	recheckInterval = 2 * time.Second
-	// lonelyInterval is the same for a proxy that isn't a watcher but has
-	// no peer to hear from.
-	lonelyInterval = 5 * time.Second
-	// takeTimeout bounds the fetching of one bundle.
-	takeTimeout = 5 * time.Second
-	// watchPause separates attempts to open a watch.
-	watchPause = 500 * time.Millisecond
+	// watchersPerZone is the number of proxies of a zone that watch the store:
+	// one and a backup. The others learn of a bundle from their peers.
+	watchersPerZone = 2
+	// watcherPollInterval is the interval at which a watcher also reads the
+	// store, in case the watch stopped delivering.
+	watcherPollInterval = 2 * time.Second
+	// isolatedPollInterval is the interval at which a proxy reads the store
+	// that is not a watcher but has no linked peer.
+	isolatedPollInterval = 5 * time.Second
+	// updateTimeout bounds the update to one bundle.
+	updateTimeout = 5 * time.Second
+	// watchRetryInterval separates attempts to open a watch.
+	watchRetryInterval = 500 * time.Millisecond
 )
 
-// newRollout returns the rollout that brings bundles into force here.
+// newRollout returns the rollout that applies bundles to this proxy.
 func (d *Daemon) newUpdater() *rosebundle.Updater {
 	return rosebundle.NewUpdater(rosebundle.UpdaterConfig{
 		TrustAnchors: d.config.Operators,
@@ -41,27 +41,28 @@
 	})
 }
 
-// followStore takes bundles from the store while this proxy is one of its
-// zone's watchers, or alone.
+// followStore updates bundles from the store while this proxy is one of its
+// zone's watchers or has no linked peer.
 func (d *Daemon) followStore(ctx context.Context) {
 	if d.config.Store == nil {
 		return
 	}
 	for ctx.Err() == nil {
 		switch {
-		case d.watcherRank() < zoneWatchers:
+		case d.watcherRank() < watchersPerZone:
 			d.watchStore(ctx)
-			roseclock.Sleep(ctx, watchPause)
+			roseclock.Sleep(ctx, watchRetryInterval)
 		case len(d.mesh.LinkedPeers()) == 0:
 			d.readStore(ctx)
-			roseclock.Sleep(ctx, lonelyInterval)
+			roseclock.Sleep(ctx, isolatedPollInterval)
 		default:
-			roseclock.Sleep(ctx, watchPause)
+			roseclock.Sleep(ctx, watchRetryInterval)
 		}
 	}
 }
 
-// watcherRank is this proxy's place among the watchers of its zone.
+// watcherRank returns this proxy's rank among the proxies of its zone. The
+// first watchersPerZone watch the store.
 func (d *Daemon) watcherRank() int {
 	var zone []rosemary.Member
 	for _, m := range d.mesh.LiveMembers() {
@@ -72,8 +73,8 @@
 	return rosepeer.RendezvousRank("watch/"+string(d.config.Zone), zone, d.config.Name)
 }
 
-// watchStore takes bundles as they change, until the watch breaks or others
-// of the zone go before this proxy.
+// watchStore updates bundles until the watch ends or this proxy is no longer
+// one of the zone's watchers.
 func (d *Daemon) watchStore(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,16 +83,16 @@
 	if err != nil {
 		return
 	}
-	recheck := time.NewTicker(recheckInterval)
-	defer recheck.Stop()
-	for d.watcherRank() < zoneWatchers {
+	poll := time.NewTicker(watcherPollInterval)
+	defer poll.Stop()
+	for d.watcherRank() < watchersPerZone {
 		select {
 		case entry, open := <-changes:
 			if !open {
 				return
 			}
-			d.take(ctx, string(entry.Value), d.fromStore())
-		case <-recheck.C:
+			d.updateBundle(ctx, string(entry.Value), d.storeFetcher())
+		case <-poll.C:
 			d.readStore(ctx)
 		case <-ctx.Done():
 			return
@@ -100,7 +101,7 @@
 }
 
 func (d *Daemon) readStore(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, updateTimeout)
 	defer cancel()
 	text, err := rosebundle.ReadCurrent(ctx, d.config.Store)
 	if err != nil {
@@ -109,62 +110,63 @@
 		}
 		return
 	}
-	d.take(ctx, text, d.fromStore())
+	d.updateBundle(ctx, text, d.storeFetcher())
 }
 
-func (d *Daemon) fromStore() rosebundle.FetchFunc {
+func (d *Daemon) storeFetcher() rosebundle.FetchFunc {
 	return rosebundle.FetchFromStore(d.config.Store)
 }
 
-// followPeers pulls a bundle from the peer that told of it.
+// followPeers fetches newer bundles from the peers that have them.
 func (d *Daemon) followPeers(ctx context.Context) {
 	for {
 		select {
-		case from := <-d.behind:
-			d.pull(ctx, from)
+		case from := <-d.newerBundleFrom:
+			d.fetchFromPeer(ctx, from)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (d *Daemon) pull(ctx context.Context, from rosemary.ProxyID) {
-	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
+func (d *Daemon) fetchFromPeer(ctx context.Context, from rosemary.ProxyID) {
+	ctx, cancel := context.WithTimeout(ctx, updateTimeout)
 	defer cancel()
 	text, err := d.mesh.FetchPart(ctx, from, "")
 	if err != nil {
 		return
 	}
-	d.take(ctx, text, func(ctx context.Context, digest string) (string, error) {
+	d.updateBundle(ctx, text, func(ctx context.Context, digest string) (string, error) {
 		part, err := d.mesh.FetchPart(ctx, from, digest)
 		if err != nil && d.config.Store != nil {
-			return d.fromStore()(ctx, digest)
+			return d.storeFetcher()(ctx, digest)
 		}
 		return part, err
 	})
 }
 
-func (d *Daemon) take(ctx context.Context, text string, fetch rosebundle.FetchFunc) {
-	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
+func (d *Daemon) updateBundle(ctx context.Context, text string, fetch rosebundle.FetchFunc) {
+	ctx, cancel := context.WithTimeout(ctx, updateTimeout)
 	defer cancel()
 	if err := d.updater.Update(ctx, text, fetch); err != nil {
 		klog.InfoS("bundle refused", "proxy", d.config.Name, "err", err)
 	}
 }
 
-// heardVersion notes that a peer has a newer bundle.
-func (d *Daemon) heardVersion(event rosepeer.Event) {
+// handleBundleVersion queues a fetch if the peer has a newer bundle.
+func (d *Daemon) handleBundleVersion(event rosepeer.Event) {
 	current, _ := d.updater.Current()
 	if event.BundleVersion <= current.Version {
 		return
 	}
 	select {
-	case d.behind <- event.From:
+	case d.newerBundleFrom <- event.From:
 	default:
 	}
 }
 
-// BundleVersion returns the version of the bundle in force, zero for none.
+// BundleVersion returns the version of the bundle in force, or zero without
+// one.
 func (d *Daemon) BundleVersion() uint64 {
 	current, _ := d.updater.Current()
 	return current.Version
--- a/internal/rosedaemon/daemon.go
+++ b/internal/rosedaemon/daemon.go
@@ -20,19 +20,21 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesession"
 )
 
-// Baseline replaces policies by simple ones, to compare with.
+// Baseline replaces policies by simple ones, for comparison in load tests.
 type Baseline struct {
 	// PrimaryReads sends every read to the primary.
 	PrimaryReads bool
-	// FirstInFirstOut serves requests in the order of their arrival.
+	// FirstInFirstOut serves requests in order of arrival.
 	FirstInFirstOut bool
-	// AcknowledgeOnPrimary answers a write on the primary's word alone.
+	// AcknowledgeOnPrimary answers a write as soon as the primary has it,
+	// without waiting for a quorum.
 	AcknowledgeOnPrimary bool
-	// EvenSplit gives each proxy the same connections, whatever its demand.
+	// EvenSplit gives each proxy the same number of connections, regardless of
+	// demand.
 	EvenSplit bool
 }
 
-// Config sets up a Daemon.
+// Config configures a Daemon.
 type Config struct {
 	Name rosemary.ProxyID
 	Zone rosemary.Zone
@@ -45,15 +47,16 @@
 	MaxCallers     int
 	TargetUser     string
 	TargetPassword string
-	// PeerAddress is where peers reach this proxy; empty runs it alone.
+	// PeerAddress is where peers reach this proxy; empty runs it without peers.
 	PeerAddress string
-	// PeerTLS authenticates proxies to each other; nil trusts the network.
+	// PeerTLS authenticates proxies to each other; nil uses unauthenticated,
+	// plain connections.
 	PeerTLS *tls.Config
-	// Seeds are peers known from settings.
+	// Seeds are the peers from the settings.
 	Seeds []rosemary.Member
-	// Operators are the keys that a first bundle must be signed with.
+	// Operators are the operators who must sign the first bundle.
 	Operators rosebundle.OperatorList
-	// Store and Roster are the platform's; either may be nil.
+	// Store and MemberSource belong to the platform; either may be nil.
 	Store        rosemary.Store
 	MemberSource rosemary.MemberSource
 	Baseline     Baseline
@@ -61,45 +64,45 @@
 
 // Daemon is one proxy.
 type Daemon struct {
-	// DrainAsked closes when an operator asks for a graceful shutdown.
+	// DrainRequested is closed when an operator requests a graceful shutdown.
 	DrainRequested chan struct{}
 
 	drainOnce sync.Once
 
 	config  Config
-	front   *rosefront.Server
+	server  *rosefront.Server
 	metrics *rosefront.Metrics
 	mesh    *rosepeer.Mesh
 	dialer  rosemary.Dialer
 	updater *rosebundle.Updater
-	// behind names a peer that has a newer bundle.
-	behind chan rosemary.ProxyID
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
+	// newerBundleFrom receives a peer that has a newer bundle.
+	newerBundleFrom chan rosemary.ProxyID
+	ctx             context.Context
+	cancel          context.CancelFunc
+	tasks           sync.WaitGroup
 
 	mu       sync.RWMutex
 	content  *rosebundle.Content
 	backends map[string]*backend
 	unready  bool
-	// queued holds a token once a statement had to wait for a target.
+	// queued holds a token after a statement had to wait for a target.
 	queued chan struct{}
-	// lender keeps the books of the targets that this proxy lends.
+	// lender accounts for the connections that this proxy lends to others.
 	lender *roselend.Lender
-	// targets is the number of targets that are watched.
-	targets int
+	// targetCount is the number of watched targets.
+	targetCount int
 }
 
-// New returns a daemon that serves nothing until Apply and Serve.
+// New returns a daemon that serves nothing until Apply and Serve are called.
 func New(config Config) *Daemon {
 	d := &Daemon{config: config, content: &rosebundle.Content{}, backends: make(map[string]*backend), metrics: rosefront.NewMetrics()}
 	d.lender = roselend.NewLender()
 	d.queued = make(chan struct{}, 1)
 	d.DrainRequested = make(chan struct{})
-	d.behind = make(chan rosemary.ProxyID, 1)
+	d.newerBundleFrom = make(chan rosemary.ProxyID, 1)
 	d.newMesh()
 	d.updater = d.newUpdater()
-	d.front = rosefront.NewServer(rosefront.Config{
+	d.server = rosefront.NewServer(rosefront.Config{
 		Directory:            d,
 		Metrics:              d.metrics,
 		Keys:                 config.Keys,
@@ -112,15 +115,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	d.ctx, d.cancel = ctx, cancel
 	d.tasks.Go(func() { d.mesh.Run(ctx) })
-	d.tasks.Go(func() { d.followRoster(ctx) })
+	d.tasks.Go(func() { d.followMembers(ctx) })
 	d.tasks.Go(func() { d.followStore(ctx) })
 	d.tasks.Go(func() { d.followPeers(ctx) })
 	d.tasks.Go(func() { d.borrow(ctx) })
 	return d
 }
 
-// Apply brings content into force. Databases whose targets didn't change keep
-// their connections.
+// Apply puts content into force. Databases with unchanged targets keep their
+// connections.
 func (d *Daemon) Apply(content *rosebundle.Content) {
 	wanted := make(map[string]rosebundle.Database)
 	for _, database := range content.Databases {
@@ -129,9 +132,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.content = content
-	d.targets = 0
+	d.targetCount = 0
 	for _, database := range content.Databases {
-		d.targets += len(database.Targets)
+		d.targetCount += len(database.Targets)
 	}
 	for name, b := range d.backends {
 		if next, kept := wanted[name]; !kept || !sameTargets(b.database, next) {
@@ -148,19 +151,20 @@
 	}
 }
 
-// retireAfter is how long a database that changed its targets is still
-// followed for the requests that are in flight on it.
-const retireAfter = time.Minute
+// retireDelay is how long the backend of a database that was removed or got
+// other targets still runs, for its requests in flight.
+const retireDelay = time.Minute
 
-// retire closes a backend once its requests have ended.
+// retire closes a backend after retireDelay.
 func (d *Daemon) retire(b *backend) {
 	d.tasks.Go(func() {
-		roseclock.Sleep(d.ctx, retireAfter)
+		roseclock.Sleep(d.ctx, retireDelay)
 		b.close()
 	})
 }
 
-// sameTargets reports whether a change leaves a database's connections valid.
+// sameTargets reports whether the targets are equal but for Leaving, so that
+// connections stay valid.
 func sameTargets(a, b rosebundle.Database) bool {
 	if len(a.Targets) != len(b.Targets) {
 		return false
@@ -174,21 +178,21 @@
 	return true
 }
 
-// Tenant returns the tenant of that name.
+// Tenant returns the tenant with the given name.
 func (d *Daemon) Tenant(name string) (rosemary.Tenant, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.content.Tenant(name)
 }
 
-// Class returns the class of that name.
+// Class returns the class with the given name.
 func (d *Daemon) Class(name string) (rosemary.Class, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.content.Class(name)
 }
 
-// Router returns the router of a database.
+// Router returns the router of the database.
 func (d *Daemon) Router(database string) (*roseroute.Router, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -205,45 +209,46 @@
 	return d.content.Leaving(id)
 }
 
-// Metrics returns what the proxy counts of its callers.
+// Metrics returns the metrics of requests.
 func (d *Daemon) Metrics() *rosefront.Metrics { return d.metrics }
 
-// Serve accepts callers from listener until it is closed.
+// Serve accepts clients from listener until it is closed.
 func (d *Daemon) Serve(listener net.Listener) error {
-	return d.front.Serve(listener)
+	return d.server.Serve(listener)
 }
 
-// Ready reports whether a new caller would be served.
+// Ready reports whether the proxy accepts new clients.
 func (d *Daemon) Ready() bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return !d.unready && !d.front.Draining() && len(d.backends) > 0
+	return !d.unready && !d.server.Draining() && len(d.backends) > 0
 }
 
-// Peers returns the number of peers that this proxy has a link to.
+// Peers returns the number of linked peers.
 func (d *Daemon) Peers() int { return len(d.mesh.LinkedPeers()) }
 
-// MarkUnready makes the balancer send callers elsewhere.
+// MarkUnready makes the readiness check fail, so that the load balancer sends
+// clients to other proxies.
 func (d *Daemon) MarkUnready() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.unready = true
 }
 
-// Drain ends the sessions at transaction borders. Nothing in flight is cut
-// off while ctx lasts.
+// Drain ends all sessions outside their transactions. Transactions are not
+// interrupted before ctx ends.
 func (d *Daemon) Drain(ctx context.Context) error {
 	started := time.Now()
 	d.mesh.Leave()
-	klog.InfoS("drain begins", "proxy", d.config.Name, "callers", d.front.Callers())
-	err := d.front.Drain(ctx)
-	klog.InfoS("drain ended", "proxy", d.config.Name, "took", time.Since(started), "left", d.front.Callers())
+	klog.InfoS("drain begins", "proxy", d.config.Name, "callers", d.server.Callers())
+	err := d.server.Drain(ctx)
+	klog.InfoS("drain ended", "proxy", d.config.Name, "took", time.Since(started), "left", d.server.Callers())
 	return trace.Wrap(err)
 }
 
-// Close ends everything at once.
+// Close closes all connections and stops the daemon.
 func (d *Daemon) Close() {
-	d.front.CloseConnections()
+	d.server.CloseConnections()
 	d.mu.Lock()
 	backends := d.backends
 	d.backends = make(map[string]*backend)
--- a/internal/rosedaemon/lend.go
+++ b/internal/rosedaemon/lend.go
@@ -11,33 +11,35 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosewire"
 )
 
-// loan is what this proxy has beyond its floor of one target.
+// loan is what this proxy may use of one target beyond its reserved
+// connections.
 type loan struct {
-	extra   int
-	until   time.Time
-	askedAt time.Time
+	extra       int
+	expires     time.Time
+	requestedAt time.Time
 }
 
-// borrow asks for connections where statements wait for them, and gives loans
-// back when their time is over.
+// borrow requests connections where statements wait for them, and returns
+// expired loans.
 func (d *Daemon) borrow(ctx context.Context) {
 	for d.awaitDemand(ctx) {
 		d.mu.Lock()
-		asks := d.asks(time.Now())
+		requests := d.connectionRequests(time.Now())
 		d.mu.Unlock()
-		for _, ask := range asks {
-			d.ask(ask)
+		for _, request := range requests {
+			d.requestConnections(request)
 		}
 	}
 }
 
-// askPause bounds the rate of asks while statements wait.
-const askPause = 20 * time.Millisecond
+// minRequestInterval is the minimum time between requests while statements
+// wait.
+const minRequestInterval = 20 * time.Millisecond
 
-// awaitDemand waits until a statement had to wait, or until loans are due for
-// a look. It reports false when ctx ended.
+// awaitDemand returns when a statement had to wait or loans are due for a
+// check. It returns false if ctx has ended.
 func (d *Daemon) awaitDemand(ctx context.Context) bool {
-	if !roseclock.Sleep(ctx, askPause) {
+	if !roseclock.Sleep(ctx, minRequestInterval) {
 		return false
 	}
 	timer := time.NewTimer(roselend.RequestInterval)
@@ -50,79 +52,83 @@
 	return ctx.Err() == nil
 }
 
-func (d *Daemon) noteQueued() {
+func (d *Daemon) signalQueued() {
 	select {
 	case d.queued <- struct{}{}:
 	default:
 	}
 }
 
-// asks lists what to ask for. The lock is held.
-func (d *Daemon) asks(now time.Time) []rosewire.Ask {
-	var asks []rosewire.Ask
+// connectionRequests returns the requests to send and ends expired loans. The
+// caller holds d.mu.
+func (d *Daemon) connectionRequests(now time.Time) []rosewire.Ask {
+	var requests []rosewire.Ask
 	for _, b := range d.backends {
 		for id := range b.pools {
-			held := b.loans[id]
-			if held.extra > 0 && now.After(held.until) {
-				held.extra = 0
-				b.loans[id] = held
-				b.limit(id)
+			current := b.loans[id]
+			if current.extra > 0 && now.After(current.expires) {
+				current.extra = 0
+				b.loans[id] = current
+				b.applyLimit(id)
 			}
-			if want := b.want(id); want > 0 {
-				held.askedAt = now
-				b.loans[id] = held
-				asks = append(asks, rosewire.Ask{Target: string(id), Want: uint64(want)})
+			if demand := b.demand(id); demand > 0 {
+				current.requestedAt = now
+				b.loans[id] = current
+				requests = append(requests, rosewire.Ask{Target: string(id), Want: uint64(demand)})
 			}
 		}
 	}
-	return asks
+	return requests
 }
 
-// want returns how many connections beyond the floor would be used now. A
-// target that itself is the bottleneck holds the adaptive limit down, and more
-// connections to it are of no use.
-func (b *backend) want(id rosemary.TargetID) int {
+// demand returns how many connections beyond the reserved ones would be used
+// now. If the target itself is the bottleneck, the adaptive limit is below its
+// maximum and more connections would not help.
+func (b *backend) demand(id rosemary.TargetID) int {
 	load := b.queues[id].Load()
 	if load.Limit < load.MaxInFlight {
-		return min(max(load.InFlight-b.share.Reserved, 0), b.share.Lendable)
+		return min(max(load.InFlight-b.quota.Reserved, 0), b.quota.Lendable)
 	}
-	return min(max(load.InFlight+load.Queued-b.share.Reserved, 0), b.share.Lendable)
+	return min(max(load.InFlight+load.Queued-b.quota.Reserved, 0), b.quota.Lendable)
 }
 
-// limit applies the floor and the loan of a target.
-func (b *backend) limit(id rosemary.TargetID) {
-	limit := b.share.Reserved + b.loans[id].extra
+// applyLimit limits a target's pool and queue to the reserved and borrowed
+// connections.
+func (b *backend) applyLimit(id rosemary.TargetID) {
+	limit := b.quota.Reserved + b.loans[id].extra
 	b.pools[id].SetLimit(limit)
 	b.queues[id].SetMaxInFlight(limit)
 }
 
-// ask sends an ask to the target's lender: the first of the live proxies.
-func (d *Daemon) ask(ask rosewire.Ask) {
-	lender := rosepeer.RendezvousOrder("lend/"+ask.Target, d.mesh.LiveMembers())[0].Proxy
+// requestConnections sends a request to the target's lender, which is the first
+// live proxy in rendezvous order.
+func (d *Daemon) requestConnections(request rosewire.Ask) {
+	lender := rosepeer.RendezvousOrder("lend/"+request.Target, d.mesh.LiveMembers())[0].Proxy
 	if lender == d.config.Name {
-		d.borrowed(d.lend(d.config.Name, ask))
+		d.applyGrant(d.lend(d.config.Name, request))
 		return
 	}
-	d.mesh.RequestConnections(lender, ask)
+	d.mesh.RequestConnections(lender, request)
 }
 
-// lend answers an ask for a target.
-func (d *Daemon) lend(from rosemary.ProxyID, ask rosewire.Ask) rosewire.Grant {
+// lend grants a proxy's request for connections to a target.
+func (d *Daemon) lend(from rosemary.ProxyID, request rosewire.Ask) rosewire.Grant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id := rosemary.TargetID(ask.Target)
+	id := rosemary.TargetID(request.Target)
 	b := d.backendOf(id)
 	if b == nil {
-		return rosewire.Grant{Target: ask.Target}
+		return rosewire.Grant{Target: request.Target}
 	}
-	want := int(min(ask.Want, uint64(b.share.Lendable)))
-	extra := d.lender.Grant(time.Now(), id, from, want, b.share.Lendable)
-	return rosewire.Grant{Target: ask.Target, Extra: uint64(extra)}
+	want := int(min(request.Want, uint64(b.quota.Lendable)))
+	extra := d.lender.Grant(time.Now(), id, from, want, b.quota.Lendable)
+	return rosewire.Grant{Target: request.Target, Extra: uint64(extra)}
 }
 
-// borrowed takes a grant into use until its time is over, counted from the
-// last ask: the lender counts from later.
-func (d *Daemon) borrowed(grant rosewire.Grant) {
+// applyGrant applies a grant. The loan expires LoanDuration after the last
+// request was sent. The lender counts from its arrival, so it lends the
+// connections to others only after that.
+func (d *Daemon) applyGrant(grant rosewire.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	id := rosemary.TargetID(grant.Target)
@@ -130,14 +136,15 @@
 	if b == nil {
 		return
 	}
-	held := b.loans[id]
-	held.extra = int(min(grant.Extra, uint64(b.share.Lendable)))
-	held.until = held.askedAt.Add(roselend.LoanDuration)
-	b.loans[id] = held
-	b.limit(id)
+	current := b.loans[id]
+	current.extra = int(min(grant.Extra, uint64(b.quota.Lendable)))
+	current.expires = current.requestedAt.Add(roselend.LoanDuration)
+	b.loans[id] = current
+	b.applyLimit(id)
 }
 
-// backendOf returns what serves the database of a target. The lock is held.
+// backendOf returns the backend of a target's database, or nil. The caller
+// holds d.mu.
 func (d *Daemon) backendOf(id rosemary.TargetID) *backend {
 	for _, b := range d.backends {
 		if b.pools[id] != nil {
--- a/internal/rosedaemon/peers.go
+++ b/internal/rosedaemon/peers.go
@@ -18,14 +18,16 @@
 )
 
 const (
-	// rosterInterval separates looks at the platform's VM list.
-	rosterInterval = 5 * time.Second
-	// idleRosterInterval is the same for those that don't watch for their
-	// zone.
-	idleRosterInterval = time.Minute
-	// lonelyRosterInterval is the same for a proxy without any peer.
-	lonelyRosterInterval = 500 * time.Millisecond
-	// peerHeaderTimeout bounds the start of a peer's connection.
+	// memberPollInterval is the interval at which a zone's watchers read the
+	// platform's VM list.
+	memberPollInterval = 5 * time.Second
+	// nonWatcherMemberPollInterval is the interval of the other proxies.
+	nonWatcherMemberPollInterval = time.Minute
+	// isolatedMemberPollInterval is the interval of a proxy without a linked
+	// peer.
+	isolatedMemberPollInterval = 500 * time.Millisecond
+	// peerHeaderTimeout bounds the wait for the request header on a peer's
+	// connection.
 	peerHeaderTimeout = 5 * time.Second
 )
 
@@ -35,12 +37,12 @@
 		Node:                rosepeer.NodeConfig{Self: self, Incarnation: uint64(time.Now().UnixMilli())},
 		Dialer:              d.config.Dialer,
 		TLS:                 d.config.PeerTLS,
-		OnEvent:             d.peerEvent,
-		OnCancel:            func(pid, secret uint32) { d.front.Cancel(pid, secret) },
+		OnEvent:             d.handlePeerEvent,
+		OnCancel:            func(pid, secret uint32) { d.server.Cancel(pid, secret) },
 		BundlePart:          func(digest string) (string, bool) { return d.updater.Part(digest) },
 		OnConnectionRequest: d.lend,
-		OnConnectionGrant:   d.borrowed,
-		AllowTunnel:         d.isTarget,
+		OnConnectionGrant:   d.applyGrant,
+		AllowTunnel:         d.isTargetAddress,
 	})
 	d.mesh.AddMembers(d.config.Seeds)
 	d.dialer = rosepeer.NewTunnelDialer(d.config.Dialer, func() *rosepeer.Mesh { return d.mesh })
@@ -59,9 +61,9 @@
 	return server.Serve(listener)
 }
 
-// followRoster learns of peers from the platform's list, which lags and may
-// be out of reach: a member counts only once it was heard.
-func (d *Daemon) followRoster(ctx context.Context) {
+// followMembers adds the members of the platform's VM list. The list lags and
+// may be unreachable, so a member counts only once it was heard.
+func (d *Daemon) followMembers(ctx context.Context) {
 	if d.config.MemberSource == nil {
 		return
 	}
@@ -72,55 +74,56 @@
 		} else if ctx.Err() == nil {
 			klog.InfoS("VM list not read", "proxy", d.config.Name, "err", err)
 		}
-		roseclock.Sleep(ctx, d.rosterWait())
+		roseclock.Sleep(ctx, d.memberPollDelay())
 	}
 }
 
-// rosterWait returns the time to the next look at the list: most proxies hear
-// of the others by news, so calls grow with zones and not with proxies.
-func (d *Daemon) rosterWait() time.Duration {
+// memberPollDelay returns the time until the next read of the VM list. Most
+// proxies learn of members from their peers, so the number of reads grows with
+// the zones and not with the proxies.
+func (d *Daemon) memberPollDelay() time.Duration {
 	switch {
 	case len(d.mesh.LinkedPeers()) == 0:
-		return lonelyRosterInterval
-	case d.watcherRank() < zoneWatchers:
-		return rosterInterval
+		return isolatedMemberPollInterval
+	case d.watcherRank() < watchersPerZone:
+		return memberPollInterval
 	}
-	return idleRosterInterval
+	return nonWatcherMemberPollInterval
 }
 
-// peerEvent acts on what a peer told.
-func (d *Daemon) peerEvent(event rosepeer.Event) {
+func (d *Daemon) handlePeerEvent(event rosepeer.Event) {
 	switch {
 	case event.Primary != nil:
-		d.takeLead(*event.Primary)
+		d.observePrimary(*event.Primary)
 	case event.BundleVersion > 0:
-		d.heardVersion(event)
+		d.handleBundleVersion(event)
 	case event.Member.Proxy != "":
 		klog.InfoS("peer changed", "proxy", d.config.Name, "peer", event.Member.Proxy, "zone", event.Member.Zone, "state", event.State)
 	}
 }
 
-// takeLead routes to a new primary before the own watch sees it.
-func (d *Daemon) takeLead(lead rosewire.Lead) {
+// observePrimary records a primary announced by a peer, so that requests reach
+// it before this proxy's own watch reports it.
+func (d *Daemon) observePrimary(primary rosewire.Lead) {
 	d.mu.RLock()
-	b := d.backends[lead.Database]
+	b := d.backends[primary.Database]
 	d.mu.RUnlock()
-	history, err := rosemary.ParseHistory(lead.History)
+	history, err := rosemary.ParseHistory(primary.History)
 	if b == nil || err != nil {
 		return
 	}
 	b.group.Observe(rosegroup.Observation{Status: rosemary.Status{
-		Target:   rosemary.TargetID(lead.Target),
-		Term:     lead.Term,
-		Position: rosemary.Position{LogTerm: lead.Term, Offset: lead.Offset},
+		Target:   rosemary.TargetID(primary.Target),
+		Term:     primary.Term,
+		Position: rosemary.Position{LogTerm: primary.Term, Offset: primary.Offset},
 		Role:     rosemary.RolePrimary,
-		Primary:  rosemary.TargetID(lead.Target),
+		Primary:  rosemary.TargetID(primary.Target),
 		History:  history,
 	}})
 }
 
-// announce tells the peers of a new primary.
-func (d *Daemon) announce(database string, status rosemary.Status) {
+// announcePrimary tells the peers of a new primary.
+func (d *Daemon) announcePrimary(database string, status rosemary.Status) {
 	d.mesh.AnnouncePrimary(rosewire.Lead{
 		Database: database,
 		Target:   string(status.Target),
@@ -130,8 +133,8 @@
 	})
 }
 
-// isTarget reports whether address is that of a target in force.
-func (d *Daemon) isTarget(address string) bool {
+// isTargetAddress reports whether a target in force has the address.
+func (d *Daemon) isTargetAddress(address string) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for _, database := range d.content.Databases {
@@ -156,7 +159,7 @@
 		Rank: func() int {
 			return rosepeer.RendezvousRank("supervise/"+database, d.mesh.LiveMembers(), d.config.Name)
 		},
-		Announce: func(status rosemary.Status) { d.announce(database, status) },
+		Announce: func(status rosemary.Status) { d.announcePrimary(database, status) },
 		Leaving:  d.leaving,
 		OnPromotion: func(took time.Duration) {
 			d.metrics.Set().GetOrCreateHistogram(`rosemary_promotion_seconds{database="` + database + `"}`).Update(took.Seconds())
