--- a/internal/rosetarget/describe.go
+++ b/internal/rosetarget/describe.go
@@ -4,17 +4,17 @@
 
 type position = rosemary.Position
 
-// resultColumns returns the columns of a prepared statement's answer; nil for
-// one without rows.
-func (s *session) resultColumns(p *prepared) ([]column, error) {
+// resultColumns returns the columns of a prepared statement's result, or nil if
+// it returns no rows.
+func (s *session) resultColumns(p *preparedStatement) ([]column, error) {
 	if len(p.statements) == 0 {
 		return nil, nil
 	}
 	st := p.statements[0]
 	switch {
-	case st.verb == "show":
-		return []column{{Name: st.name}}, nil
-	case st.verb != "select":
+	case st.command == "show":
+		return []column{{Name: st.settingName}}, nil
+	case st.command != "select":
 		return nil, nil
 	case st.function != "":
 		return functionColumns(st.function)
@@ -23,71 +23,71 @@
 	case st.table == "":
 		return literalColumns(st), nil
 	}
-	t, err := s.target.lookup(st.table)
+	t, err := s.target.lookupTable(st.table)
 	if err != nil {
 		return nil, err
 	}
-	columns, _, err := selected(t, st)
+	columns, _, err := selectedColumns(t, st)
 	return columns, err
 }
 
-// paramTypes infers the types of a statement's parameters from the columns
-// that they meet.
-func (s *session) paramTypes(st *statement, given []uint32) []uint32 {
+// inferParamTypes returns the types of a statement's parameters: the declared
+// ones, or else those of the columns that they are compared with or assigned to.
+func (s *session) inferParamTypes(st *statement, declared []uint32) []uint32 {
 	types := make(map[int]uint32)
-	t, _ := s.target.lookup(st.table)
-	number := func(name string) bool {
+	t, _ := s.target.lookupTable(st.table)
+	isInteger := func(name string) bool {
 		if t == nil {
 			return false
 		}
-		at := t.index(name)
-		return at >= 0 && t.columns[at].Integer
+		index := t.columnIndex(name)
+		return index >= 0 && t.columns[index].Integer
 	}
-	note := func(e *expression, isNumber bool) {
+	setType := func(e *expression, integer bool) {
 		for ; e != nil; e = e.addend {
 			if e.param > 0 {
-				types[e.param] = column{Integer: isNumber}.oid()
+				types[e.param] = column{Integer: integer}.oid()
 			}
 		}
 	}
-	for _, list := range st.rows {
-		for i := range list {
+	for _, expressions := range st.rows {
+		for i := range expressions {
 			name := ""
 			if i < len(st.columns) {
 				name = st.columns[i]
 			} else if t != nil && i < len(t.columns) {
 				name = t.columns[i].Name
 			}
-			note(&list[i], number(name))
+			setType(&expressions[i], isInteger(name))
 		}
 	}
-	for i := range st.sets {
-		note(&st.sets[i].value, number(st.sets[i].column))
+	for i := range st.assignments {
+		setType(&st.assignments[i].value, isInteger(st.assignments[i].column))
 	}
 	for i := range st.where {
-		note(&st.where[i].operand, number(st.where[i].column))
+		setType(&st.where[i].operand, isInteger(st.where[i].column))
 	}
 	for i := range st.args {
-		note(&st.args[i], false)
+		setType(&st.args[i], false)
 	}
-	note(st.limit, true)
-	return typeList(types, given)
+	setType(st.limit, true)
+	return paramOIDs(types, declared)
 }
 
-func typeList(types map[int]uint32, given []uint32) []uint32 {
-	highest := len(given)
+func paramOIDs(types map[int]uint32, declared []uint32) []uint32 {
+	count := len(declared)
 	for i := range types {
-		highest = max(highest, i)
+		count = max(count, i)
 	}
-	list := make([]uint32, highest)
-	for i := range list {
-		list[i] = oidText
+	oids := make([]uint32, count)
+	for i := range oids {
+		oids[i] = oidText
 		if oid, ok := types[i+1]; ok {
-			list[i] = oid
+			oids[i] = oid
 		}
-		if i < len(given) && given[i] != 0 {
-			list[i] = given[i]
+		if i < len(declared) && declared[i] != 0 {
+			oids[i] = declared[i]
 		}
 	}
-	return list
+	return oids
 }
--- a/internal/rosetarget/encode.go
+++ b/internal/rosetarget/encode.go
@@ -11,7 +11,7 @@
 	for _, fields := range r.rows {
 		values := make([][]byte, len(fields))
 		for i, v := range fields {
-			values[i] = encodeField(v, r.columns[i], format(formats, i))
+			values[i] = encodeField(v, r.columns[i], formatCode(formats, i))
 		}
 		s.backend.Send(&pgproto3.DataRow{Values: values})
 	}
@@ -24,9 +24,9 @@
 		fields[i] = pgproto3.FieldDescription{
 			Name:         []byte(c.Name),
 			DataTypeOID:  c.oid(),
-			DataTypeSize: c.size(),
+			DataTypeSize: c.typeSize(),
 			TypeModifier: -1,
-			Format:       format(formats, i),
+			Format:       formatCode(formats, i),
 		}
 	}
 	return &pgproto3.RowDescription{Fields: fields}
@@ -39,14 +39,14 @@
 	return oidText
 }
 
-func (c column) size() int16 {
+func (c column) typeSize() int16 {
 	if c.Integer {
 		return 8
 	}
 	return -1
 }
 
-func format(formats []int16, i int) int16 {
+func formatCode(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 0:
 		return 0
@@ -58,7 +58,7 @@
 	return 0
 }
 
-func oidAt(oids []uint32, i int) uint32 {
+func paramOID(oids []uint32, i int) uint32 {
 	if i < len(oids) {
 		return oids[i]
 	}
--- a/internal/rosetarget/execute.go
+++ b/internal/rosetarget/execute.go
@@ -9,265 +9,267 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// result is the answer to one statement.
+// result is the result of one statement.
 type result struct {
 	columns []column
 	rows    []row
 	tag     string
 }
 
-// run executes a statement that touches tables.
-func (x *transaction) run(ctx context.Context, s *statement, params []value) (*result, error) {
-	switch s.verb {
+// execute runs a statement that reads or writes tables.
+func (tx *transaction) execute(ctx context.Context, s *statement, params []value) (*result, error) {
+	switch s.command {
 	case "create":
-		return x.create(s)
+		return tx.createTable(s)
 	case "insert":
-		return x.insert(ctx, s, params)
+		return tx.insert(ctx, s, params)
 	case "update", "delete":
-		return x.change(ctx, s, params)
+		return tx.updateOrDelete(ctx, s, params)
 	}
-	return x.selectRows(ctx, s, params)
+	return tx.selectRows(ctx, s, params)
 }
 
-// writable refuses a write on a target that isn't the primary of its term.
-func (x *transaction) writable() error {
-	x.target.mu.Lock()
-	defer x.target.mu.Unlock()
-	if x.target.role != rosemary.RolePrimary || x.target.term != x.term {
+// checkWritable returns an error unless the target is the primary of the term in
+// which the transaction began.
+func (tx *transaction) checkWritable() error {
+	tx.target.mu.Lock()
+	defer tx.target.mu.Unlock()
+	if tx.target.role != rosemary.RolePrimary || tx.target.term != tx.term {
 		return readOnlyError()
 	}
 	return nil
 }
 
-func (x *transaction) create(s *statement) (*result, error) {
-	if err := x.writable(); err != nil {
+func (tx *transaction) createTable(s *statement) (*result, error) {
+	if err := tx.checkWritable(); err != nil {
 		return nil, err
 	}
-	x.target.mu.Lock()
-	exists := x.target.data.tables[s.table] != nil
-	x.target.mu.Unlock()
-	if exists && !s.ignoreDup {
+	tx.target.mu.Lock()
+	exists := tx.target.data.tables[s.table] != nil
+	tx.target.mu.Unlock()
+	if exists && !s.ignoreExisting {
 		return nil, newError("42P07", "relation %q already exists", s.table)
 	}
 	if !exists {
-		x.ops = append(x.ops, op{kind: opCreate, table: s.table, columns: s.defined})
+		tx.ops = append(tx.ops, op{kind: opCreate, table: s.table, columns: s.definitions})
 	}
 	return &result{tag: "CREATE TABLE"}, nil
 }
 
-func (t *Target) lookup(name string) (*table, error) {
+func (t *Target) lookupTable(name string) (*table, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if found := t.data.tables[name]; found != nil {
-		return found, nil
+	if tbl := t.data.tables[name]; tbl != nil {
+		return tbl, nil
 	}
 	return nil, newError("42P01", "relation %q does not exist", name)
 }
 
-// writableTable returns a table to write to.
-func (x *transaction) writableTable(name string) (*table, error) {
-	if err := x.writable(); err != nil {
+// writableTable returns a table, or an error if the target is read-only.
+func (tx *transaction) writableTable(name string) (*table, error) {
+	if err := tx.checkWritable(); err != nil {
 		return nil, err
 	}
-	return x.target.lookup(name)
+	return tx.target.lookupTable(name)
 }
 
-func (x *transaction) insert(ctx context.Context, s *statement, params []value) (*result, error) {
-	t, err := x.writableTable(s.table)
+func (tx *transaction) insert(ctx context.Context, s *statement, params []value) (*result, error) {
+	t, err := tx.writableTable(s.table)
 	if err != nil {
 		return nil, err
 	}
 	inserted := 0
-	for _, list := range s.rows {
-		r, err := buildRow(t, s, list, params)
+	for _, expressions := range s.rows {
+		r, err := buildRow(t, s, expressions, params)
 		if err != nil {
 			return nil, err
 		}
-		key := t.encodeKey(r[t.key])
-		if err := x.lock(ctx, lockKey{s.table, key}); err != nil {
+		key := t.encodeKey(r[t.keyColumn])
+		if err := tx.lockRow(ctx, rowID{s.table, key}); err != nil {
 			return nil, err
 		}
-		x.target.mu.Lock()
-		exists := x.find(s.table, key) != nil
-		x.target.mu.Unlock()
-		if exists && s.ignoreDup {
+		tx.target.mu.Lock()
+		exists := tx.find(s.table, key) != nil
+		tx.target.mu.Unlock()
+		if exists && s.ignoreExisting {
 			continue
 		}
 		if exists {
 			e := newError("23505", "duplicate key value violates unique constraint %q", s.table+"_pkey")
-			e.detail = "Key (" + t.columns[t.key].Name + ")=(" + r[t.key].Text + ") already exists."
+			e.detail = "Key (" + t.columns[t.keyColumn].Name + ")=(" + r[t.keyColumn].Text + ") already exists."
 			return nil, e
 		}
-		x.write(op{kind: opPut, table: s.table, key: key, row: r})
+		tx.write(op{kind: opPut, table: s.table, key: key, row: r})
 		inserted++
 	}
 	return &result{tag: "INSERT 0 " + strconv.Itoa(inserted)}, nil
 }
 
-func buildRow(t *table, s *statement, list []expression, params []value) (row, error) {
+func buildRow(t *table, s *statement, expressions []expression, params []value) (row, error) {
 	r := make(row, len(t.columns))
 	for i := range r {
 		r[i] = value{Null: true}
 	}
-	for i, e := range list {
-		at := i
+	for i, e := range expressions {
+		index := i
 		if len(s.columns) > i {
-			at = t.index(s.columns[i])
+			index = t.columnIndex(s.columns[i])
 		}
-		if at < 0 || at >= len(r) {
-			return nil, newError("42703", "INSERT names a column that does not exist")
+		if index < 0 || index >= len(r) {
+			return nil, newError("42703", "INSERT refers to a column that does not exist")
 		}
-		v, err := evaluator{params: params}.value(e)
+		v, err := evaluator{params: params}.evaluate(e)
 		if err != nil {
 			return nil, err
 		}
-		r[at] = v
+		r[index] = v
 	}
 	return r, nil
 }
 
-// matching lists the keys of the rows that the conditions hold for.
-func (x *transaction) matching(t *table, s *statement, params []value) ([]string, error) {
-	x.target.mu.Lock()
-	defer x.target.mu.Unlock()
-	candidates, err := x.candidates(t, s, params)
+// matchingKeys returns the keys of the rows that satisfy the conditions.
+func (tx *transaction) matchingKeys(t *table, s *statement, params []value) ([]string, error) {
+	tx.target.mu.Lock()
+	defer tx.target.mu.Unlock()
+	candidates, err := tx.candidateKeys(t, s, params)
 	if err != nil {
 		return nil, err
 	}
 	var keys []string
 	for _, key := range candidates {
-		r := x.find(s.table, key)
+		r := tx.find(s.table, key)
 		if r == nil {
 			continue
 		}
-		hit, err := holds(t, s.where, r, params)
+		matched, err := rowMatches(t, s.where, r, params)
 		if err != nil {
 			return nil, err
 		}
-		if hit {
+		if matched {
 			keys = append(keys, key)
 		}
 	}
 	return keys, nil
 }
 
-// candidates narrows the keys by the conditions on the primary key.
-func (x *transaction) candidates(t *table, s *statement, params []value) ([]string, error) {
-	keys := x.keys(s.table)
+// candidateKeys returns the keys that satisfy the = and >= conditions on the
+// primary key.
+func (tx *transaction) candidateKeys(t *table, s *statement, params []value) ([]string, error) {
+	keys := tx.keys(s.table)
 	for _, c := range s.where {
-		if c.column != t.columns[t.key].Name {
+		if c.column != t.columns[t.keyColumn].Name {
 			continue
 		}
-		v, err := evaluator{params: params}.value(c.operand)
+		v, err := evaluator{params: params}.evaluate(c.operand)
 		if err != nil {
 			return nil, err
 		}
-		at, found := slices.BinarySearch(keys, t.encodeKey(v))
+		index, found := slices.BinarySearch(keys, t.encodeKey(v))
 		switch {
 		case c.operator == "=" && found:
-			return keys[at : at+1], nil
+			return keys[index : index+1], nil
 		case c.operator == "=":
 			return nil, nil
 		case c.operator == ">=":
-			keys = keys[at:]
+			keys = keys[index:]
 		}
 	}
 	return slices.Clone(keys), nil
 }
 
-func holds(t *table, where []condition, r row, params []value) (bool, error) {
+func rowMatches(t *table, where []condition, r row, params []value) (bool, error) {
 	for _, c := range where {
-		at := t.index(c.column)
-		if at < 0 {
+		index := t.columnIndex(c.column)
+		if index < 0 {
 			return false, newError("42703", "column %q does not exist", c.column)
 		}
-		v, err := evaluator{params: params, table: t, row: r}.value(c.operand)
+		v, err := evaluator{params: params, table: t, row: r}.evaluate(c.operand)
 		if err != nil {
 			return false, err
 		}
-		if v.Null || r[at].Null {
+		if v.Null || r[index].Null {
 			return false, nil
 		}
-		hit, err := matches(c.operator, compareValues(t.columns[at].Integer, r[at], v))
-		if err != nil || !hit {
+		matched, err := orderSatisfies(c.operator, compareValues(t.columns[index].Integer, r[index], v))
+		if err != nil || !matched {
 			return false, err
 		}
 	}
 	return true, nil
 }
 
-// change runs an UPDATE or a DELETE. Conditions are checked again once a row
-// is locked, so that a concurrent change isn't overwritten.
-func (x *transaction) change(ctx context.Context, s *statement, params []value) (*result, error) {
-	t, err := x.writableTable(s.table)
+// updateOrDelete runs an UPDATE or a DELETE. Conditions are checked again once a
+// row is locked, so that a concurrent change isn't overwritten.
+func (tx *transaction) updateOrDelete(ctx context.Context, s *statement, params []value) (*result, error) {
+	t, err := tx.writableTable(s.table)
 	if err != nil {
 		return nil, err
 	}
-	keys, err := x.matching(t, s, params)
+	keys, err := tx.matchingKeys(t, s, params)
 	if err != nil {
 		return nil, err
 	}
 	changed := 0
 	for _, key := range keys {
-		if err := x.lock(ctx, lockKey{s.table, key}); err != nil {
+		if err := tx.lockRow(ctx, rowID{s.table, key}); err != nil {
 			return nil, err
 		}
-		done, err := x.changeRow(t, s, key, params)
+		modified, err := tx.updateOrDeleteRow(t, s, key, params)
 		if err != nil {
 			return nil, err
 		}
-		changed += boolInt(done)
+		changed += boolToInt(modified)
 	}
-	return &result{tag: strings.ToUpper(s.verb) + " " + strconv.Itoa(changed)}, nil
+	return &result{tag: strings.ToUpper(s.command) + " " + strconv.Itoa(changed)}, nil
 }
 
-func (x *transaction) changeRow(t *table, s *statement, key string, params []value) (bool, error) {
-	x.target.mu.Lock()
-	current := x.find(s.table, key)
-	x.target.mu.Unlock()
+func (tx *transaction) updateOrDeleteRow(t *table, s *statement, key string, params []value) (bool, error) {
+	tx.target.mu.Lock()
+	current := tx.find(s.table, key)
+	tx.target.mu.Unlock()
 	if current == nil {
 		return false, nil
 	}
-	hit, err := holds(t, s.where, current, params)
-	if err != nil || !hit {
+	matched, err := rowMatches(t, s.where, current, params)
+	if err != nil || !matched {
 		return false, err
 	}
-	if s.verb == "delete" {
-		x.write(op{kind: opDelete, table: s.table, key: key})
+	if s.command == "delete" {
+		tx.write(op{kind: opDelete, table: s.table, key: key})
 		return true, nil
 	}
 	changed := slices.Clone(current)
-	for _, a := range s.sets {
-		at := t.index(a.column)
-		if at < 0 {
+	for _, a := range s.assignments {
+		index := t.columnIndex(a.column)
+		if index < 0 {
 			return false, newError("42703", "column %q does not exist", a.column)
 		}
-		if changed[at], err = (evaluator{params: params, table: t, row: current}).value(a.value); err != nil {
+		if changed[index], err = (evaluator{params: params, table: t, row: current}).evaluate(a.value); err != nil {
 			return false, err
 		}
 	}
-	x.write(op{kind: opPut, table: s.table, key: key, row: changed})
+	tx.write(op{kind: opPut, table: s.table, key: key, row: changed})
 	return true, nil
 }
 
-func (x *transaction) selectRows(ctx context.Context, s *statement, params []value) (*result, error) {
+func (tx *transaction) selectRows(ctx context.Context, s *statement, params []value) (*result, error) {
 	if s.table == "" {
-		v, err := evaluator{params: params}.value(s.rows[0][0])
+		v, err := evaluator{params: params}.evaluate(s.rows[0][0])
 		if err != nil {
 			return nil, err
 		}
 		return &result{columns: literalColumns(s), rows: []row{{v}}, tag: "SELECT 1"}, nil
 	}
-	t, err := x.target.lookup(s.table)
+	t, err := tx.target.lookupTable(s.table)
 	if err != nil {
 		return nil, err
 	}
-	keys, err := x.matching(t, s, params)
+	keys, err := tx.matchingKeys(t, s, params)
 	if err != nil {
 		return nil, err
 	}
 	if s.forUpdate {
-		if keys, err = x.lockRows(ctx, t, s, keys, params); err != nil {
+		if keys, err = tx.lockRows(ctx, t, s, keys, params); err != nil {
 			return nil, err
 		}
 	}
@@ -275,20 +277,20 @@
 		count := row{{Text: strconv.Itoa(len(keys))}}
 		return &result{columns: countColumns, rows: []row{count}, tag: "SELECT 1"}, nil
 	}
-	return x.project(t, s, keys, params)
+	return tx.project(t, s, keys, params)
 }
 
-// lockRows locks rows and looks again which of them match.
-func (x *transaction) lockRows(ctx context.Context, t *table, s *statement, keys []string, params []value) ([]string, error) {
-	if err := x.writable(); err != nil {
+// lockRows locks rows and returns the keys that still match afterwards.
+func (tx *transaction) lockRows(ctx context.Context, t *table, s *statement, keys []string, params []value) ([]string, error) {
+	if err := tx.checkWritable(); err != nil {
 		return nil, err
 	}
 	for _, key := range keys {
-		if err := x.lock(ctx, lockKey{s.table, key}); err != nil {
+		if err := tx.lockRow(ctx, rowID{s.table, key}); err != nil {
 			return nil, err
 		}
 	}
-	return x.matching(t, s, params)
+	return tx.matchingKeys(t, s, params)
 }
 
 var countColumns = []column{{Name: "count", Integer: true}}
@@ -298,64 +300,64 @@
 	return []column{{Name: "?column?", Integer: err == nil}}
 }
 
-func (x *transaction) project(t *table, s *statement, keys []string, params []value) (*result, error) {
+func (tx *transaction) project(t *table, s *statement, keys []string, params []value) (*result, error) {
 	rows := make([]row, 0, len(keys))
-	x.target.mu.Lock()
+	tx.target.mu.Lock()
 	for _, key := range keys {
-		if r := x.find(s.table, key); r != nil {
+		if r := tx.find(s.table, key); r != nil {
 			rows = append(rows, r)
 		}
 	}
-	x.target.mu.Unlock()
-	if at := t.index(s.orderBy); at >= 0 {
-		slices.SortStableFunc(rows, func(a, b row) int { return compareValues(t.columns[at].Integer, a[at], b[at]) })
+	tx.target.mu.Unlock()
+	if index := t.columnIndex(s.orderBy); index >= 0 {
+		slices.SortStableFunc(rows, func(a, b row) int { return compareValues(t.columns[index].Integer, a[index], b[index]) })
 	}
 	if s.descending {
 		slices.Reverse(rows)
 	}
 	if s.limit != nil {
-		v, err := evaluator{params: params}.value(*s.limit)
+		v, err := evaluator{params: params}.evaluate(*s.limit)
 		if err != nil {
 			return nil, err
 		}
 		limit, err := strconv.Atoi(v.Text)
 		if err != nil || limit < 0 {
-			return nil, newError("22P02", "bad LIMIT %q", v.Text)
+			return nil, newError("22P02", "invalid LIMIT %q", v.Text)
 		}
 		rows = rows[:min(limit, len(rows))]
 	}
-	columns, places, err := selected(t, s)
+	columns, indexes, err := selectedColumns(t, s)
 	if err != nil {
 		return nil, err
 	}
 	for i, r := range rows {
-		picked := make(row, len(places))
-		for j, at := range places {
-			picked[j] = r[at]
+		projected := make(row, len(indexes))
+		for j, index := range indexes {
+			projected[j] = r[index]
 		}
-		rows[i] = picked
+		rows[i] = projected
 	}
 	return &result{columns: columns, rows: rows, tag: "SELECT " + strconv.Itoa(len(rows))}, nil
 }
 
-// selected returns the columns of a SELECT and their places in a row.
-func selected(t *table, s *statement) ([]column, []int, error) {
+// selectedColumns returns the columns of a SELECT and their indexes in a row.
+func selectedColumns(t *table, s *statement) ([]column, []int, error) {
 	var columns []column
-	var places []int
+	var indexes []int
 	if len(s.columns) == 0 {
 		for i, c := range t.columns {
 			columns = append(columns, c)
-			places = append(places, i)
+			indexes = append(indexes, i)
 		}
-		return columns, places, nil
+		return columns, indexes, nil
 	}
 	for _, name := range s.columns {
-		at := t.index(name)
-		if at < 0 {
+		index := t.columnIndex(name)
+		if index < 0 {
 			return nil, nil, newError("42703", "column %q does not exist", name)
 		}
-		columns = append(columns, t.columns[at])
-		places = append(places, at)
+		columns = append(columns, t.columns[index])
+		indexes = append(indexes, index)
 	}
-	return columns, places, nil
+	return columns, indexes, nil
 }
--- a/internal/rosetarget/extended.go
+++ b/internal/rosetarget/extended.go
@@ -4,7 +4,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-func (s *session) extended(message pgproto3.FrontendMessage) error {
+func (s *session) extendedQuery(message pgproto3.FrontendMessage) error {
 	switch m := message.(type) {
 	case *pgproto3.Parse:
 		return s.parseMessage(m)
@@ -37,9 +37,9 @@
 	if s.statements[m.Name] != nil && m.Name != "" {
 		return newError("42P05", "prepared statement %q already exists", m.Name)
 	}
-	p := &prepared{statements: statements}
+	p := &preparedStatement{statements: statements}
 	if len(statements) == 1 {
-		p.paramOIDs = s.paramTypes(statements[0], m.ParameterOIDs)
+		p.paramOIDs = s.inferParamTypes(statements[0], m.ParameterOIDs)
 	}
 	s.statements[m.Name] = p
 	s.backend.Send(&pgproto3.ParseComplete{})
@@ -53,7 +53,7 @@
 	}
 	params := make([]value, len(m.Parameters))
 	for i, raw := range m.Parameters {
-		v, err := decodeParam(raw, format(m.ParameterFormatCodes, i), oidAt(p.paramOIDs, i))
+		v, err := decodeParam(raw, formatCode(m.ParameterFormatCodes, i), paramOID(p.paramOIDs, i))
 		if err != nil {
 			return err
 		}
@@ -65,7 +65,7 @@
 }
 
 func (s *session) describe(m *pgproto3.Describe) error {
-	var p *prepared
+	var p *preparedStatement
 	var formats []int16
 	if m.ObjectType == 'S' {
 		if p = s.statements[m.Name]; p == nil {
--- a/internal/rosetarget/functions.go
+++ b/internal/rosetarget/functions.go
@@ -9,7 +9,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// statusColumns are those of the functions that report a status.
+// statusColumns are the columns of the functions that return a status.
 var statusColumns = []column{
 	{Name: "target"},
 	{Name: "term", Integer: true},
@@ -35,11 +35,11 @@
 	return &result{columns: statusColumns, rows: []row{r}, tag: "SELECT 1"}
 }
 
-func oneColumn(name string, number bool, text string) *result {
-	return &result{columns: []column{{Name: name, Integer: number}}, rows: []row{{{Text: text}}}, tag: "SELECT 1"}
+func singleValue(name string, integer bool, text string) *result {
+	return &result{columns: []column{{Name: name, Integer: integer}}, rows: []row{{{Text: text}}}, tag: "SELECT 1"}
 }
 
-// functionColumns describes a function's answer without calling it.
+// functionColumns returns the columns of a function's result without calling it.
 func functionColumns(name string) ([]column, error) {
 	switch name {
 	case "rosemary.status", "rosemary.watch", "rosemary.fence", "rosemary.promote", "rosemary.follow":
@@ -52,7 +52,7 @@
 	return nil, newError("42883", "function %s does not exist", name)
 }
 
-// callFunction answers a call of one of the target's functions.
+// callFunction calls a built-in function.
 func (s *session) callFunction(ctx context.Context, st *statement, args []value) (*result, error) {
 	t := s.target
 	argument := func(i int) string {
@@ -61,7 +61,7 @@
 		}
 		return ""
 	}
-	number := func(i int) uint64 {
+	uintArgument := func(i int) uint64 {
 		n, _ := strconv.ParseUint(argument(i), 10, 64)
 		return n
 	}
@@ -69,21 +69,21 @@
 	case "rosemary.status":
 		return statusResult(t.Status()), nil
 	case "rosemary.watch":
-		roseclock.Sleep(ctx, t.slowness())
-		status := t.watch(ctx, argument(0), time.Duration(number(1))*time.Millisecond)
+		roseclock.Sleep(ctx, t.nextWatchDelay())
+		status := t.watch(ctx, argument(0), time.Duration(uintArgument(1))*time.Millisecond)
 		result := statusResult(status)
 		if status.Fingerprint() == argument(0) {
 			result.rows, result.tag = nil, "SELECT 0"
 		}
 		return result, nil
 	case "rosemary.fence":
-		return orStatus(t.fence(number(0), argument(1)))
+		return statusOrError(t.fence(uintArgument(0), argument(1)))
 	case "rosemary.promote":
-		return orStatus(t.promote(number(0)))
+		return statusOrError(t.promote(uintArgument(0)))
 	case "rosemary.follow":
-		return orStatus(t.followPrimary(rosemary.TargetID(argument(0)), number(1)))
+		return statusOrError(t.followPrimary(rosemary.TargetID(argument(0)), uintArgument(1)))
 	case "rosemary.position":
-		return oneColumn("position", false, s.committed.String()), nil
+		return singleValue("position", false, s.lastCommit.String()), nil
 	case "rosemary.claim":
 		return s.claim(ctx, argument(0))
 	case "rosemary.outcome":
@@ -93,24 +93,25 @@
 		if !roseclock.Sleep(ctx, time.Duration(seconds*float64(time.Second))) {
 			return nil, newError("57014", "canceling statement due to user request")
 		}
-		return oneColumn("pg_sleep", false, ""), nil
+		return singleValue("pg_sleep", false, ""), nil
 	case "version":
-		return oneColumn("version", false, serverVersion), nil
+		return singleValue("version", false, serverVersion), nil
 	case "current_schema":
-		return oneColumn("current_schema", false, "public"), nil
+		return singleValue("current_schema", false, "public"), nil
 	}
 	_, err := functionColumns(st.function)
 	return nil, err
 }
 
-func orStatus(s rosemary.Status, err error) (*result, error) {
+func statusOrError(s rosemary.Status, err error) (*result, error) {
 	if err != nil {
 		return nil, err
 	}
 	return statusResult(s), nil
 }
 
-// watch returns the status once its fingerprint differs from known.
+// watch returns the status once its fingerprint differs from known, or after
+// wait.
 func (t *Target) watch(ctx context.Context, known string, wait time.Duration) rosemary.Status {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -131,53 +132,54 @@
 	}
 }
 
-// Values of the state column of a request.
+// Values of the state column of requestsTable.
 const (
 	requestRan       = "ran"
 	requestAbandoned = "abandoned"
 )
 
-// claim records that the request of that identifier runs in the current
-// transaction. It fails with 23505 when it was claimed before.
+// claim records that the request with that identifier runs in the current
+// transaction. If it was claimed before, claim fails with 23505 and a detail
+// whose last word is its state, which the proxy parses.
 func (s *session) claim(ctx context.Context, id string) (*result, error) {
-	x := s.transaction
-	if err := x.writable(); err != nil {
+	tx := s.transaction
+	if err := tx.checkWritable(); err != nil {
 		return nil, err
 	}
-	key := lockKey{requestsTable, id}
-	if err := x.lock(ctx, key); err != nil {
+	key := rowID{requestsTable, id}
+	if err := tx.lockRow(ctx, key); err != nil {
 		return nil, err
 	}
 	s.target.mu.Lock()
-	found := x.find(requestsTable, id)
+	existing := tx.find(requestsTable, id)
 	s.target.mu.Unlock()
-	if found != nil {
+	if existing != nil {
 		e := newError("23505", "request %q was claimed before", id)
-		e.detail = "Its outcome is: " + found[1].Text
+		e.detail = "Its outcome is: " + existing[1].Text
 		return nil, e
 	}
-	x.write(op{kind: opPut, table: requestsTable, key: id, row: row{{Text: id}, {Text: requestRan}}})
-	return oneColumn("claim", false, id), nil
+	tx.write(op{kind: opPut, table: requestsTable, key: id, row: row{{Text: id}, {Text: requestRan}}})
+	return singleValue("claim", false, id), nil
 }
 
-// outcome tells whether a request ran. One that didn't is marked, so that it
-// can't run later. The answer is written in either case: once that write is
-// confirmed, what it tells is so too.
+// outcome returns whether a request ran. One that didn't is recorded as
+// abandoned, so that it can't run later. The state is written in either case, so
+// that the answer is confirmed once this write is.
 func (s *session) outcome(ctx context.Context, id string) (*result, error) {
-	x := s.transaction
-	if err := x.writable(); err != nil {
+	tx := s.transaction
+	if err := tx.checkWritable(); err != nil {
 		return nil, err
 	}
-	if err := x.lock(ctx, lockKey{requestsTable, id}); err != nil {
-		return oneColumn("outcome", false, "unknown"), nil // a held claim is an answer
+	if err := tx.lockRow(ctx, rowID{requestsTable, id}); err != nil {
+		return singleValue("outcome", false, "unknown"), nil // another transaction still holds the claim
 	}
 	s.target.mu.Lock()
-	found := x.find(requestsTable, id)
+	existing := tx.find(requestsTable, id)
 	s.target.mu.Unlock()
 	state, answer := requestAbandoned, "did not run"
-	if found != nil && found[1].Text == requestRan {
+	if existing != nil && existing[1].Text == requestRan {
 		state, answer = requestRan, "ran"
 	}
-	x.write(op{kind: opPut, table: requestsTable, key: id, row: row{{Text: id}, {Text: state}}})
-	return oneColumn("outcome", false, answer), nil
+	tx.write(op{kind: opPut, table: requestsTable, key: id, row: row{{Text: id}, {Text: state}}})
+	return singleValue("outcome", false, answer), nil
 }
--- a/internal/rosetarget/inspect.go
+++ b/internal/rosetarget/inspect.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Put is a row that a record wrote.
+// Put is a row written by a record.
 type Put struct {
 	Table  string
 	Fields []string
 }
 
-// Record is a commit in a target's log, for history checks.
+// Record is one commit in a target's log.
 type Record struct {
 	Term uint64
 	At   time.Time
 	Puts []Put
 }
 
-// Log returns the target's log from its start.
+// Log returns the target's whole log.
 func (t *Target) Log() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	records := make([]Record, len(t.data.log))
 	for i, r := range t.data.log {
-		records[i] = Record{Term: r.term, At: r.at, Puts: r.puts()}
+		records[i] = Record{Term: r.term, At: r.committedAt, Puts: r.puts()}
 	}
 	return records
 }
@@ -41,26 +41,26 @@
 	return puts
 }
 
-// maxServed bounds the statements whose times are kept.
-const maxServed = 100_000
+// maxStatementTimes bounds the number of statement times kept.
+const maxStatementTimes = 100_000
 
-func (t *Target) noteStatement() {
+func (t *Target) recordStatement() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.servedAt) >= maxServed {
-		t.servedAt = t.servedAt[maxServed/2:]
+	if len(t.statementTimes) >= maxStatementTimes {
+		t.statementTimes = t.statementTimes[maxStatementTimes/2:]
 	}
-	t.servedAt = append(t.servedAt, time.Now())
+	t.statementTimes = append(t.statementTimes, time.Now())
 }
 
-// StatementsAfter returns the number of statements on tables that began after
-// at.
-func (t *Target) StatementsAfter(at time.Time) int {
+// StatementsAfter returns the number of statements that acquired a slot after
+// start. Function calls take no slot.
+func (t *Target) StatementsAfter(start time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	count := 0
-	for _, served := range t.servedAt {
-		if served.After(at) {
+	for _, began := range t.statementTimes {
+		if began.After(start) {
 			count++
 		}
 	}
--- a/internal/rosetarget/lexer.go
+++ b/internal/rosetarget/lexer.go
@@ -8,7 +8,7 @@
 	tokenEnd tokenKind = iota
 	tokenWord
 	tokenNumber
-	tokenText
+	tokenString
 	tokenParam
 	tokenSymbol
 )
@@ -20,7 +20,8 @@
 
 const wordBytes = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_."
 
-// lex splits query into tokens. Comments are dropped; words are lower case.
+// lex splits query into tokens. It drops comments and converts unquoted words to
+// lower case.
 func lex(query string) ([]token, error) {
 	var tokens []token
 	for i := 0; i < len(query); {
@@ -40,11 +41,11 @@
 			}
 			i += end + 2
 		case c == '\'' || c == '"':
-			text, size, err := quoted(query[i:], c)
+			text, size, err := unquote(query[i:], c)
 			if err != nil {
 				return nil, err
 			}
-			kind := tokenText
+			kind := tokenString
 			if c == '"' {
 				kind = tokenWord
 			}
@@ -82,7 +83,7 @@
 	return tokens, nil
 }
 
-func quoted(text string, quote byte) (string, int, error) {
+func unquote(text string, quote byte) (string, int, error) {
 	var b strings.Builder
 	for i := 1; i < len(text); i++ {
 		if text[i] != quote {
--- a/internal/rosetarget/log.go
+++ b/internal/rosetarget/log.go
@@ -6,7 +6,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// opKind is what one operation does to a table.
+// opKind is the kind of change that an operation makes to a table.
 type opKind int
 
 const (
@@ -23,20 +23,20 @@
 	columns []column
 }
 
-// record is one commit in the log.
+// record is the log record of one commit.
 type record struct {
-	term uint64
-	at   time.Time
-	ops  []op
+	term        uint64
+	committedAt time.Time
+	ops         []op
 }
 
-// database is the log of a target and the tables that it makes.
+// database is the log of a target and the tables built from it.
 type database struct {
 	log    []record
 	tables map[string]*table
 }
 
-// requestsTable holds the identifiers of requests that ran.
+// requestsTable holds the identifiers and states of claimed requests.
 const requestsTable = "rosemary.requests"
 
 func newDatabase() *database {
@@ -73,7 +73,7 @@
 	}
 }
 
-// truncate cuts the log to size records and rebuilds the tables.
+// truncate shortens the log to size records and rebuilds the tables from it.
 func (d *database) truncate(size int) {
 	if size >= len(d.log) {
 		return
@@ -85,12 +85,12 @@
 	}
 }
 
-// historyTerms bounds the terms that a status lists.
-const historyTerms = 16
+// maxHistoryTerms bounds the number of terms in a status.
+const maxHistoryTerms = 16
 
 func (d *database) history() rosemary.History {
 	var history rosemary.History
-	for end := len(d.log); end > 0 && len(history) < historyTerms; {
+	for end := len(d.log); end > 0 && len(history) < maxHistoryTerms; {
 		term := d.log[end-1].term
 		start := d.termStart(term, end)
 		history = append(rosemary.History{{Term: term, Offset: uint64(start + 1)}}, history...)
@@ -99,7 +99,7 @@
 	return history
 }
 
-// termStart returns the index of the first record of term before end.
+// termStart returns the index of the first record of term in log[:end].
 func (d *database) termStart(term uint64, end int) int {
 	low, high := 0, end
 	for low < high {
@@ -113,8 +113,9 @@
 	return low
 }
 
-// common returns the number of leading records that d and other share.
-func (d *database) common(other *database) int {
+// commonPrefix returns the number of leading records that both logs share.
+// Records at the same offset are equal if their terms are.
+func (d *database) commonPrefix(other *database) int {
 	size := min(len(d.log), len(other.log))
 	for size > 0 && d.log[size-1].term != other.log[size-1].term {
 		size--
--- a/internal/rosetarget/parser.go
+++ b/internal/rosetarget/parser.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// expression is a literal, a parameter or a column, with an optional addend.
+// expression is a literal, a parameter or a column, with an optional addend that
+// is added or, with negate, subtracted.
 type expression struct {
 	literal value
 	param   int
@@ -26,33 +27,33 @@
 	value  expression
 }
 
-// statement is one parsed statement.
+// statement is a parsed SQL statement.
 type statement struct {
-	verb       string
-	table      string
-	columns    []string
-	defined    []column
-	rows       [][]expression
-	sets       []assignment
-	where      []condition
-	orderBy    string
-	descending bool
-	limit      *expression
-	count      bool
-	ignoreDup  bool
-	forUpdate  bool
-	function   string
-	args       []expression
-	name       string
-	setting    string
+	command        string
+	table          string
+	columns        []string
+	definitions    []column
+	rows           [][]expression
+	assignments    []assignment
+	where          []condition
+	orderBy        string
+	descending     bool
+	limit          *expression
+	count          bool
+	ignoreExisting bool
+	forUpdate      bool
+	function       string
+	args           []expression
+	settingName    string
+	settingValue   string
 }
 
 type parser struct {
 	tokens []token
-	next   int
+	offset int
 }
 
-// parse reads a sequence of statements separated by semicolons.
+// parse parses a sequence of statements separated by semicolons.
 func parse(query string) ([]*statement, error) {
 	tokens, err := lex(query)
 	if err != nil {
@@ -61,365 +62,365 @@
 	p := &parser{tokens: tokens}
 	var statements []*statement
 	for {
-		for p.symbol(";") {
+		for p.acceptSymbol(";") {
 			continue
 		}
 		if p.peek().kind == tokenEnd {
 			return statements, nil
 		}
-		s, err := p.statement()
+		s, err := p.parseStatement()
 		if err != nil {
 			return nil, err
 		}
 		statements = append(statements, s)
-		if p.peek().kind != tokenEnd && !p.symbol(";") {
+		if p.peek().kind != tokenEnd && !p.acceptSymbol(";") {
 			return nil, syntaxError("syntax error at or near %q", p.peek().text)
 		}
 	}
 }
 
 func (p *parser) peek() token {
-	if p.next >= len(p.tokens) {
+	if p.offset >= len(p.tokens) {
 		return token{}
 	}
-	return p.tokens[p.next]
+	return p.tokens[p.offset]
 }
 
-func (p *parser) take() token {
+func (p *parser) nextToken() token {
 	t := p.peek()
-	p.next++
+	p.offset++
 	return t
 }
 
-func (p *parser) symbol(text string) bool {
+func (p *parser) acceptSymbol(text string) bool {
 	if t := p.peek(); t.kind == tokenSymbol && t.text == text {
-		p.next++
+		p.offset++
 		return true
 	}
 	return false
 }
 
-func (p *parser) word(words ...string) bool {
+func (p *parser) acceptWords(words ...string) bool {
 	for i, w := range words {
-		if p.next+i >= len(p.tokens) || p.tokens[p.next+i] != (token{tokenWord, w}) {
+		if p.offset+i >= len(p.tokens) || p.tokens[p.offset+i] != (token{tokenWord, w}) {
 			return false
 		}
 	}
-	p.next += len(words)
+	p.offset += len(words)
 	return true
 }
 
-func (p *parser) name() (string, error) {
-	t := p.take()
+func (p *parser) parseName() (string, error) {
+	t := p.nextToken()
 	if t.kind != tokenWord {
 		return "", syntaxError("syntax error at or near %q", t.text)
 	}
 	return strings.TrimPrefix(t.text, "public."), nil
 }
 
-func (p *parser) statement() (*statement, error) {
-	verb, err := p.name()
+func (p *parser) parseStatement() (*statement, error) {
+	command, err := p.parseName()
 	if err != nil {
 		return nil, err
 	}
-	switch verb {
+	switch command {
 	case "begin", "start":
-		p.skip()
-		return &statement{verb: "begin"}, nil
+		p.skipStatement()
+		return &statement{command: "begin"}, nil
 	case "commit", "end":
-		p.skip()
-		return &statement{verb: "commit"}, nil
+		p.skipStatement()
+		return &statement{command: "commit"}, nil
 	case "rollback", "abort":
-		p.skip()
-		return &statement{verb: "rollback"}, nil
+		p.skipStatement()
+		return &statement{command: "rollback"}, nil
 	case "create":
-		return p.create()
+		return p.parseCreateTable()
 	case "insert":
-		return p.insert()
+		return p.parseInsert()
 	case "update":
-		return p.update()
+		return p.parseUpdate()
 	case "delete":
-		return p.remove()
+		return p.parseDelete()
 	case "select":
-		return p.selection()
+		return p.parseSelect()
 	case "set", "show", "reset", "discard", "deallocate":
-		return p.settings(verb)
+		return p.parseSetting(command)
 	}
-	return nil, syntaxError("syntax error at or near %q", verb)
+	return nil, syntaxError("syntax error at or near %q", command)
 }
 
-// skip passes over the rest of a statement.
-func (p *parser) skip() {
+// skipStatement skips the rest of the current statement.
+func (p *parser) skipStatement() {
 	for t := p.peek(); t.kind != tokenEnd && t != (token{tokenSymbol, ";"}); t = p.peek() {
-		p.next++
+		p.offset++
 	}
 }
 
-func (p *parser) settings(verb string) (*statement, error) {
-	s := &statement{verb: verb}
-	if p.word("session") || p.word("local") {
-		s.verb = verb
+func (p *parser) parseSetting(command string) (*statement, error) {
+	s := &statement{command: command}
+	if p.acceptWords("session") || p.acceptWords("local") {
+		s.command = command
 	}
-	s.name = p.take().text
-	if p.symbol("=") || p.word("to") {
-		s.setting = p.take().text
+	s.settingName = p.nextToken().text
+	if p.acceptSymbol("=") || p.acceptWords("to") {
+		s.settingValue = p.nextToken().text
 	}
-	p.skip()
+	p.skipStatement()
 	return s, nil
 }
 
-func (p *parser) create() (*statement, error) {
-	if !p.word("table") {
-		return nil, unsupported("only CREATE TABLE is known")
+func (p *parser) parseCreateTable() (*statement, error) {
+	if !p.acceptWords("table") {
+		return nil, unsupportedError("only CREATE TABLE is supported")
 	}
-	s := &statement{verb: "create", ignoreDup: p.word("if", "not", "exists")}
+	s := &statement{command: "create", ignoreExisting: p.acceptWords("if", "not", "exists")}
 	var err error
-	if s.table, err = p.name(); err != nil {
+	if s.table, err = p.parseName(); err != nil {
 		return nil, err
 	}
-	if !p.symbol("(") {
+	if !p.acceptSymbol("(") {
 		return nil, syntaxError("expected (")
 	}
 	for {
 		c := column{}
-		if c.Name, err = p.name(); err != nil {
+		if c.Name, err = p.parseName(); err != nil {
 			return nil, err
 		}
-		kind, err := p.name()
+		typeName, err := p.parseName()
 		if err != nil {
 			return nil, err
 		}
-		c.Integer = slices.Contains([]string{"bigint", "int", "integer", "int8"}, kind)
-		c.PrimaryKey = p.word("primary", "key")
-		if p.word("not", "null") {
-			c.PrimaryKey = c.PrimaryKey || p.word("primary", "key")
+		c.Integer = slices.Contains([]string{"bigint", "int", "integer", "int8"}, typeName)
+		c.PrimaryKey = p.acceptWords("primary", "key")
+		if p.acceptWords("not", "null") {
+			c.PrimaryKey = c.PrimaryKey || p.acceptWords("primary", "key")
 		}
-		s.defined = append(s.defined, c)
-		if p.symbol(")") {
+		s.definitions = append(s.definitions, c)
+		if p.acceptSymbol(")") {
 			return s, nil
 		}
-		if !p.symbol(",") {
+		if !p.acceptSymbol(",") {
 			return nil, syntaxError("expected , or )")
 		}
 	}
 }
 
-func (p *parser) insert() (*statement, error) {
-	s := &statement{verb: "insert"}
-	if !p.word("into") {
+func (p *parser) parseInsert() (*statement, error) {
+	s := &statement{command: "insert"}
+	if !p.acceptWords("into") {
 		return nil, syntaxError("expected INTO")
 	}
 	var err error
-	if s.table, err = p.name(); err != nil {
+	if s.table, err = p.parseName(); err != nil {
 		return nil, err
 	}
-	if p.symbol("(") {
-		for !p.symbol(")") {
-			c, err := p.name()
+	if p.acceptSymbol("(") {
+		for !p.acceptSymbol(")") {
+			c, err := p.parseName()
 			if err != nil {
 				return nil, err
 			}
 			s.columns = append(s.columns, c)
-			p.symbol(",")
+			p.acceptSymbol(",")
 		}
 	}
-	if !p.word("values") {
+	if !p.acceptWords("values") {
 		return nil, syntaxError("expected VALUES")
 	}
-	for p.symbol("(") {
-		row, err := p.list()
+	for p.acceptSymbol("(") {
+		row, err := p.parseExpressions()
 		if err != nil {
 			return nil, err
 		}
 		s.rows = append(s.rows, row)
-		p.symbol(",")
+		p.acceptSymbol(",")
 	}
-	s.ignoreDup = p.word("on", "conflict", "do", "nothing")
+	s.ignoreExisting = p.acceptWords("on", "conflict", "do", "nothing")
 	return s, nil
 }
 
-// list reads expressions up to a closing parenthesis.
-func (p *parser) list() ([]expression, error) {
-	var list []expression
-	for !p.symbol(")") {
-		e, err := p.expression()
+// parseExpressions parses expressions up to a closing parenthesis.
+func (p *parser) parseExpressions() ([]expression, error) {
+	var expressions []expression
+	for !p.acceptSymbol(")") {
+		e, err := p.parseExpression()
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, e)
-		p.symbol(",")
+		expressions = append(expressions, e)
+		p.acceptSymbol(",")
 	}
-	return list, nil
+	return expressions, nil
 }
 
-func (p *parser) update() (*statement, error) {
-	s := &statement{verb: "update"}
+func (p *parser) parseUpdate() (*statement, error) {
+	s := &statement{command: "update"}
 	var err error
-	if s.table, err = p.name(); err != nil {
+	if s.table, err = p.parseName(); err != nil {
 		return nil, err
 	}
-	if !p.word("set") {
+	if !p.acceptWords("set") {
 		return nil, syntaxError("expected SET")
 	}
 	for {
-		c, err := p.name()
+		c, err := p.parseName()
 		if err != nil {
 			return nil, err
 		}
-		if !p.symbol("=") {
+		if !p.acceptSymbol("=") {
 			return nil, syntaxError("expected =")
 		}
-		e, err := p.expression()
+		e, err := p.parseExpression()
 		if err != nil {
 			return nil, err
 		}
-		s.sets = append(s.sets, assignment{c, e})
-		if !p.symbol(",") {
-			return s, p.conditions(s)
+		s.assignments = append(s.assignments, assignment{c, e})
+		if !p.acceptSymbol(",") {
+			return s, p.parseWhere(s)
 		}
 	}
 }
 
-func (p *parser) remove() (*statement, error) {
-	s := &statement{verb: "delete"}
-	if !p.word("from") {
+func (p *parser) parseDelete() (*statement, error) {
+	s := &statement{command: "delete"}
+	if !p.acceptWords("from") {
 		return nil, syntaxError("expected FROM")
 	}
 	var err error
-	if s.table, err = p.name(); err != nil {
+	if s.table, err = p.parseName(); err != nil {
 		return nil, err
 	}
-	return s, p.conditions(s)
+	return s, p.parseWhere(s)
 }
 
-func (p *parser) selection() (*statement, error) {
-	s := &statement{verb: "select"}
+func (p *parser) parseSelect() (*statement, error) {
+	s := &statement{command: "select"}
 	switch {
-	case p.symbol("*"):
-	case p.word("count"):
+	case p.acceptSymbol("*"):
+	case p.acceptWords("count"):
 		s.count = true
-		if !p.symbol("(") || !p.symbol("*") || !p.symbol(")") {
-			return nil, syntaxError("only count(*) is known")
+		if !p.acceptSymbol("(") || !p.acceptSymbol("*") || !p.acceptSymbol(")") {
+			return nil, syntaxError("only count(*) is supported")
 		}
-	case p.peek().kind == tokenNumber || p.peek().kind == tokenText || p.peek().kind == tokenParam:
-		e, err := p.expression()
+	case p.peek().kind == tokenNumber || p.peek().kind == tokenString || p.peek().kind == tokenParam:
+		e, err := p.parseExpression()
 		if err != nil {
 			return nil, err
 		}
 		s.rows = [][]expression{{e}}
 		return s, nil
 	default:
-		if done, err := p.items(s); done || err != nil {
+		if done, err := p.parseSelectList(s); done || err != nil {
 			return s, err
 		}
 	}
-	if !p.word("from") {
+	if !p.acceptWords("from") {
 		return nil, syntaxError("expected FROM")
 	}
 	var err error
-	if s.table, err = p.name(); err != nil {
+	if s.table, err = p.parseName(); err != nil {
 		return nil, err
 	}
-	if p.symbol("(") {
+	if p.acceptSymbol("(") {
 		s.function = s.table
-		s.args, err = p.list()
+		s.args, err = p.parseExpressions()
 		return s, err
 	}
-	if err := p.conditions(s); err != nil {
+	if err := p.parseWhere(s); err != nil {
 		return nil, err
 	}
-	return s, p.tail(s)
+	return s, p.parseSelectTail(s)
 }
 
-// items reads column names. It reports true for a function call, which ends
-// the statement.
-func (p *parser) items(s *statement) (bool, error) {
+// parseSelectList parses the column names of a SELECT. It reports true for a
+// function call, which ends the statement.
+func (p *parser) parseSelectList(s *statement) (bool, error) {
 	for {
-		item, err := p.name()
+		item, err := p.parseName()
 		if err != nil {
 			return false, err
 		}
-		if p.symbol("(") {
+		if p.acceptSymbol("(") {
 			s.function = item
-			s.args, err = p.list()
+			s.args, err = p.parseExpressions()
 			return true, err
 		}
 		s.columns = append(s.columns, item)
-		if !p.symbol(",") {
+		if !p.acceptSymbol(",") {
 			return false, nil
 		}
 	}
 }
 
-func (p *parser) tail(s *statement) error {
-	if p.word("order", "by") {
-		name, err := p.name()
+func (p *parser) parseSelectTail(s *statement) error {
+	if p.acceptWords("order", "by") {
+		name, err := p.parseName()
 		if err != nil {
 			return err
 		}
 		s.orderBy = name
-		s.descending = p.word("desc")
-		p.word("asc")
+		s.descending = p.acceptWords("desc")
+		p.acceptWords("asc")
 	}
-	if p.word("limit") {
-		e, err := p.expression()
+	if p.acceptWords("limit") {
+		e, err := p.parseExpression()
 		if err != nil {
 			return err
 		}
 		s.limit = &e
 	}
-	s.forUpdate = p.word("for", "update")
+	s.forUpdate = p.acceptWords("for", "update")
 	return nil
 }
 
-func (p *parser) conditions(s *statement) error {
-	if !p.word("where") {
+func (p *parser) parseWhere(s *statement) error {
+	if !p.acceptWords("where") {
 		return nil
 	}
 	for {
 		c := condition{}
 		var err error
-		if c.column, err = p.name(); err != nil {
+		if c.column, err = p.parseName(); err != nil {
 			return err
 		}
-		if p.word("between") {
-			low, err := p.expression()
+		if p.acceptWords("between") {
+			low, err := p.parseExpression()
 			if err != nil {
 				return err
 			}
-			if !p.word("and") {
+			if !p.acceptWords("and") {
 				return syntaxError("expected AND")
 			}
 			s.where = append(s.where, condition{c.column, ">=", low})
 			c.operator = "<="
 		} else {
-			c.operator = p.take().text
+			c.operator = p.nextToken().text
 		}
-		if c.operand, err = p.expression(); err != nil {
+		if c.operand, err = p.parseExpression(); err != nil {
 			return err
 		}
 		s.where = append(s.where, c)
-		if !p.word("and") {
+		if !p.acceptWords("and") {
 			return nil
 		}
 	}
 }
 
-func (p *parser) expression() (expression, error) {
+func (p *parser) parseExpression() (expression, error) {
 	e := expression{}
-	negative := p.symbol("-")
-	switch t := p.take(); t.kind {
-	case tokenNumber, tokenText:
+	negative := p.acceptSymbol("-")
+	switch t := p.nextToken(); t.kind {
+	case tokenNumber, tokenString:
 		e.literal = value{Text: t.text}
 		if negative {
 			e.literal.Text = "-" + t.text
 		}
 	case tokenParam:
-		number, err := strconv.Atoi(t.text)
-		if err != nil || number < 1 || number > maxParams {
-			return e, syntaxError("bad parameter $%s", t.text)
+		index, err := strconv.Atoi(t.text)
+		if err != nil || index < 1 || index > maxParams {
+			return e, syntaxError("invalid parameter number $%s", t.text)
 		}
-		e.param = number
+		e.param = index
 	case tokenWord:
 		if t.text == "null" {
 			e.literal = value{Null: true}
@@ -429,14 +430,14 @@
 	default:
 		return e, syntaxError("syntax error at or near %q", t.text)
 	}
-	if p.symbol("::") {
-		if _, err := p.name(); err != nil {
+	if p.acceptSymbol("::") {
+		if _, err := p.parseName(); err != nil {
 			return e, err
 		}
 	}
-	if p.symbol("+") || p.symbol("-") {
-		e.negate = p.tokens[p.next-1].text == "-"
-		addend, err := p.expression()
+	if p.acceptSymbol("+") || p.acceptSymbol("-") {
+		e.negate = p.tokens[p.offset-1].text == "-"
+		addend, err := p.parseExpression()
 		if err != nil {
 			return e, err
 		}
--- a/internal/rosetarget/replicate.go
+++ b/internal/rosetarget/replicate.go
@@ -8,27 +8,29 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// replicationRetry is the pause after a replica found no primary of its term.
+// replicationRetry is the interval between attempts while the primary is
+// unavailable or has nothing to copy.
 const replicationRetry = 20 * time.Millisecond
 
-// startFollowing replaces the replication of the target. The lock is held.
-func (t *Target) startFollowing() {
-	if t.follow != nil {
-		t.follow()
+// startReplication replaces the target's replication. The caller holds mu.
+func (t *Target) startReplication() {
+	if t.cancelReplication != nil {
+		t.cancelReplication()
 	}
-	ctx, cancel := context.WithCancel(t.running.ctx)
-	t.follow = cancel
+	ctx, cancel := context.WithCancel(t.run.ctx)
+	t.cancelReplication = cancel
 	primary, term := t.cluster.targets[t.primary], t.term
-	t.running.tasks.Go(func() { t.replicate(ctx, primary, term) })
+	t.run.goroutines.Go(func() { t.replicate(ctx, primary, term) })
 }
 
-// replicate copies the log of primary while term is in force.
+// replicate copies the log of primary until ctx is cancelled, as it is when the
+// target moves to another term.
 func (t *Target) replicate(ctx context.Context, primary *Target, term uint64) {
-	defer t.stopStream()
+	defer t.clearStreaming()
 	for ctx.Err() == nil && primary != nil {
-		more, changed := t.copyOnce(ctx, primary, term)
-		t.noteStream(changed != nil || more, primary)
-		if more {
+		copied, changed := t.replicateOnce(ctx, primary, term)
+		t.updateStreaming(changed != nil || copied, primary)
+		if copied {
 			continue
 		}
 		select {
@@ -39,30 +41,31 @@
 	}
 }
 
-// streamTimeout is the silence after which a replica takes its stream for
-// broken.
+// streamTimeout is the time without contact with the primary after which a
+// replica reports its replication stream as broken.
 const streamTimeout = 600 * time.Millisecond
 
-// noteStream keeps what the replica reports of its stream. A primary that
-// closed the stream is noticed at once, a silent one after a time.
-func (t *Target) noteStream(heard bool, primary *Target) {
+// updateStreaming updates whether the replica reports a replication stream. A
+// primary that closed the stream is detected immediately, one that can't be
+// reached only after streamTimeout.
+func (t *Target) updateStreaming(contacted bool, primary *Target) {
 	primary.mu.Lock()
-	closed := primary.running == nil
+	closed := primary.run == nil
 	primary.mu.Unlock()
-	closed = closed && !t.config.Network.Blocked(primary.place(), t.place())
+	closed = closed && !t.config.Network.Blocked(primary.host(), t.host())
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if heard {
-		t.heardAt = time.Now()
+	if contacted {
+		t.lastContact = time.Now()
 	}
-	streaming := heard || t.streaming && !closed && time.Since(t.heardAt) < streamTimeout
+	streaming := contacted || t.streaming && !closed && time.Since(t.lastContact) < streamTimeout
 	if streaming != t.streaming {
 		t.streaming = streaming
 		t.notify()
 	}
 }
 
-func (t *Target) stopStream() {
+func (t *Target) clearStreaming() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.role != rosemary.RoleReplica && t.streaming {
@@ -71,28 +74,30 @@
 	}
 }
 
-// copyOnce moves what the primary has and the lag allows. It reports whether
-// anything was copied, and a channel that closes when the primary changes.
-func (t *Target) copyOnce(ctx context.Context, primary *Target, term uint64) (bool, <-chan struct{}) {
-	from, to := primary.place(), t.place()
+// replicateOnce copies the records of the primary that are older than the lag,
+// after it truncated the log where the two diverge. It returns whether anything
+// was copied, and a channel that is closed when the primary changes; nil if the
+// primary isn't available.
+func (t *Target) replicateOnce(ctx context.Context, primary *Target, term uint64) (bool, <-chan struct{}) {
+	from, to := primary.host(), t.host()
 	primary.mu.Lock()
 	changed := primary.changed
-	alive := primary.running != nil && primary.role == rosemary.RolePrimary && primary.term == term
+	available := primary.run != nil && primary.role == rosemary.RolePrimary && primary.term == term
 	source := database{log: primary.data.log}
 	primary.mu.Unlock()
-	if !alive || t.config.Network.Blocked(from, to) {
+	if !available || t.config.Network.Blocked(from, to) {
 		return false, nil
 	}
 	t.mu.Lock()
-	shared := t.data.common(&source)
+	common := t.data.commonPrefix(&source)
 	lag := t.lag
-	diverged := shared < len(t.data.log)
+	diverged := common < len(t.data.log)
 	t.mu.Unlock()
 	end := len(source.log)
-	for lag > 0 && end > shared && time.Since(source.log[end-1].at) < lag {
+	for lag > 0 && end > common && time.Since(source.log[end-1].committedAt) < lag {
 		end--
 	}
-	if end == shared && !diverged {
+	if end == common && !diverged {
 		return false, changed
 	}
 	if !roseclock.Sleep(ctx, t.config.Network.Delay(from, to)) || t.config.Network.Blocked(from, to) {
@@ -103,60 +108,61 @@
 	if t.term != term || t.role != rosemary.RoleReplica || ctx.Err() != nil {
 		return false, nil
 	}
-	t.data.truncate(shared)
-	for _, r := range source.log[shared:max(end, shared)] {
+	t.data.truncate(common)
+	for _, r := range source.log[common:max(end, common)] {
 		t.data.append(r)
 	}
 	t.notify()
 	return true, changed
 }
 
-// fence makes the target accept term and refuse what is older.
+// fence moves the target to term, in which it accepts no writes until it is
+// promoted. It refuses an older term, or the current one from another proposer.
 func (t *Target) fence(term uint64, proposer string) (rosemary.Status, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if term < t.term || term == t.term && proposer != t.proposer {
-		return t.status(), newError("55000", "fence for term %d refused: term %d is in force", term, t.term)
+		return t.status(), newError("55000", "fence for term %d refused: current term is %d", term, t.term)
 	}
 	if term > t.term {
 		t.term = term
 		t.proposer = proposer
 		t.role = rosemary.RoleFenced
-		t.stopFollowing()
+		t.stopReplication()
 		t.notify()
 	}
 	return t.status(), nil
 }
 
-func (t *Target) stopFollowing() {
-	if t.follow != nil {
-		t.follow()
-		t.follow = nil
+func (t *Target) stopReplication() {
+	if t.cancelReplication != nil {
+		t.cancelReplication()
+		t.cancelReplication = nil
 	}
 }
 
-// promote starts term on a target fenced at it.
+// promote makes a target fenced for term its primary.
 func (t *Target) promote(term uint64) (rosemary.Status, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.term != term || t.role == rosemary.RoleReplica {
-		return t.status(), newError("55000", "promotion to term %d refused: term %d as %s is in force", term, t.term, t.role)
+		return t.status(), newError("55000", "promotion to term %d refused: current term is %d, role %s", term, t.term, t.role)
 	}
 	if t.role == rosemary.RoleFenced {
 		t.role = rosemary.RolePrimary
 		t.primary = t.config.ID
-		t.data.append(record{term: term, at: time.Now()})
+		t.data.append(record{term: term, committedAt: time.Now()})
 		t.notify()
 	}
 	return t.status(), nil
 }
 
-// followPrimary makes the target a replica of primary under term.
+// followPrimary makes the target a replica of primary in term.
 func (t *Target) followPrimary(primary rosemary.TargetID, term uint64) (rosemary.Status, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if term < t.term || term == t.term && t.role == rosemary.RolePrimary {
-		return t.status(), newError("55000", "follow under term %d refused: term %d as %s is in force", term, t.term, t.role)
+		return t.status(), newError("55000", "follow in term %d refused: current term is %d, role %s", term, t.term, t.role)
 	}
 	if term == t.term && t.role == rosemary.RoleReplica && t.primary == primary {
 		return t.status(), nil
@@ -164,7 +170,7 @@
 	t.term = term
 	t.role = rosemary.RoleReplica
 	t.primary = primary
-	t.startFollowing()
+	t.startReplication()
 	t.notify()
 	return t.status(), nil
 }
--- a/internal/rosetarget/session.go
+++ b/internal/rosetarget/session.go
@@ -16,65 +16,65 @@
 
 const serverVersion = "15.0"
 
-// Object identifiers of the types that the stand-in knows.
+// Object identifiers of the supported types.
 const (
 	oidInt8 = 20
 	oidText = 25
 )
 
-// maxMessageBytes bounds one message from a client.
+// maxMessageBytes limits the size of a message from a client.
 const maxMessageBytes = 16 << 20
 
 // session serves one connection.
 type session struct {
-	target      *Target
-	run         *run
-	conn        net.Conn
-	backend     *pgproto3.Backend
-	pid         uint32
-	statements  map[string]*prepared
-	portals     map[string]*portal
-	transaction *transaction
-	committed   position
-	skipping    bool
+	target          *Target
+	run             *serverRun
+	conn            net.Conn
+	backend         *pgproto3.Backend
+	pid             uint32
+	statements      map[string]*preparedStatement
+	portals         map[string]*portal
+	transaction     *transaction
+	lastCommit      position
+	ignoreUntilSync bool
 
 	mu     sync.Mutex
 	cancel context.CancelFunc
 }
 
-type prepared struct {
+type preparedStatement struct {
 	statements []*statement
 	paramOIDs  []uint32
 }
 
 type portal struct {
-	prepared *prepared
+	prepared *preparedStatement
 	params   []value
 	formats  []int16
 }
 
-func (t *Target) serve(r *run, conn net.Conn) {
+func (t *Target) serve(r *serverRun, conn net.Conn) {
 	defer conn.Close()
 	s := &session{
 		target:     t,
 		run:        r,
 		conn:       conn,
 		backend:    pgproto3.NewBackend(conn, conn),
-		statements: make(map[string]*prepared),
+		statements: make(map[string]*preparedStatement),
 		portals:    make(map[string]*portal),
 	}
 	s.backend.SetMaxBodyLen(maxMessageBytes)
 	if !s.startup() {
 		return
 	}
-	defer t.leave(r, s)
-	s.loop()
+	defer t.removeSession(r, s)
+	s.handleMessages()
 	if s.transaction != nil {
 		s.transaction.rollback()
 	}
 }
 
-// startup answers the handshake. It reports false when the session is over.
+// startup handles the handshake. It reports false if the connection ends.
 func (s *session) startup() bool {
 	for {
 		message, err := s.backend.ReceiveStartupMessage()
@@ -90,16 +90,16 @@
 			s.target.cancelRequest(s.run, m.ProcessID)
 			return false
 		case *pgproto3.StartupMessage:
-			return s.welcome()
+			return s.openSession()
 		}
 	}
 }
 
-func (s *session) welcome() bool {
+func (s *session) openSession() bool {
 	if !roseclock.Sleep(s.run.ctx, s.target.config.ConnectTime) {
 		return false
 	}
-	if !s.target.enter(s.run, s) {
+	if !s.target.addSession(s.run, s) {
 		s.backend.Send(newError("53300", "sorry, too many clients already").response())
 		s.flush()
 		return false
@@ -117,7 +117,7 @@
 		s.backend.Send(&pgproto3.ParameterStatus{Name: p[0], Value: p[1]})
 	}
 	s.backend.Send(&pgproto3.BackendKeyData{ProcessID: s.pid, SecretKey: binary.BigEndian.AppendUint32(nil, s.pid)})
-	s.ready()
+	s.sendReadyForQuery()
 	return s.flush()
 }
 
@@ -125,18 +125,18 @@
 	return s.backend.Flush() == nil
 }
 
-func (s *session) ready() {
+func (s *session) sendReadyForQuery() {
 	status := byte('I')
-	if x := s.transaction; x != nil {
+	if tx := s.transaction; tx != nil {
 		status = 'T'
-		if x.failed {
+		if tx.failed {
 			status = 'E'
 		}
 	}
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: status})
 }
 
-func (s *session) loop() {
+func (s *session) handleMessages() {
 	for {
 		message, err := s.backend.Receive()
 		if err != nil || !s.handle(message) {
@@ -145,46 +145,47 @@
 	}
 }
 
-// handle answers one message. It reports false when the session is over.
+// handle processes one message. It reports false when the session ends.
 func (s *session) handle(message pgproto3.FrontendMessage) bool {
 	switch m := message.(type) {
 	case *pgproto3.Terminate:
 		return false
 	case *pgproto3.Query:
 		s.simpleQuery(m.String)
-		s.ready()
+		s.sendReadyForQuery()
 		return s.flush()
 	case *pgproto3.Sync:
-		if err := s.endImplicit(); err != nil {
+		if err := s.commitImplicit(); err != nil {
 			s.fail(err)
 		}
-		s.skipping = false
-		s.ready()
+		s.ignoreUntilSync = false
+		s.sendReadyForQuery()
 		return s.flush()
 	case *pgproto3.Flush:
 		return s.flush()
 	}
-	if s.skipping {
+	if s.ignoreUntilSync {
 		return true
 	}
-	if err := s.extended(message); err != nil {
+	if err := s.extendedQuery(message); err != nil {
 		s.fail(err)
-		s.skipping = true
+		s.ignoreUntilSync = true
 	}
 	return true
 }
 
-// fail sends an error and marks the transaction.
+// fail sends an error. It marks an explicit transaction as failed and rolls back
+// an implicit one.
 func (s *session) fail(err error) {
 	var sqlErr *sqlError
 	if !errors.As(err, &sqlErr) {
 		sqlErr = newError("XX000", "%v", err)
 	}
-	if x := s.transaction; x != nil {
-		if x.explicit {
-			x.failed = true
+	if tx := s.transaction; tx != nil {
+		if tx.explicit {
+			tx.failed = true
 		} else {
-			x.rollback()
+			tx.rollback()
 			s.transaction = nil
 		}
 	}
@@ -204,7 +205,7 @@
 	for i, st := range statements {
 		r, err := s.execute(st, nil)
 		if err == nil && i == len(statements)-1 {
-			err = s.endImplicit()
+			err = s.commitImplicit()
 		}
 		if err != nil {
 			s.fail(err)
@@ -217,41 +218,41 @@
 	}
 }
 
-// endImplicit commits the transaction of statements outside BEGIN.
-func (s *session) endImplicit() error {
-	x := s.transaction
-	if x == nil || x.explicit {
+// commitImplicit commits the transaction of statements outside a BEGIN block.
+func (s *session) commitImplicit() error {
+	tx := s.transaction
+	if tx == nil || tx.explicit {
 		return nil
 	}
 	s.transaction = nil
-	committed, err := x.commit()
+	committed, err := tx.commit()
 	if err != nil {
 		return err
 	}
-	s.noteCommit(committed)
+	s.recordCommit(committed)
 	return nil
 }
 
-func (s *session) noteCommit(p position) {
+func (s *session) recordCommit(p position) {
 	if !p.IsZero() {
-		s.committed = p
+		s.lastCommit = p
 	}
 }
 
 // execute runs one statement in the session's transaction.
 func (s *session) execute(st *statement, params []value) (*result, error) {
-	if x := s.transaction; x != nil && x.failed && st.verb != "rollback" && st.verb != "commit" {
+	if tx := s.transaction; tx != nil && tx.failed && st.command != "rollback" && st.command != "commit" {
 		return nil, newError("25P02", "current transaction is aborted, commands ignored until end of transaction block")
 	}
-	switch st.verb {
+	switch st.command {
 	case "begin":
 		return s.beginBlock(), nil
 	case "commit", "rollback":
-		return s.endBlock(st.verb)
+		return s.endBlock(st.command)
 	case "show":
 		return s.show(st)
 	case "set", "reset", "discard", "deallocate":
-		return &result{tag: strings.ToUpper(st.verb)}, nil
+		return &result{tag: strings.ToUpper(st.command)}, nil
 	}
 	if s.transaction == nil {
 		s.transaction = s.target.begin(false)
@@ -261,7 +262,7 @@
 	if st.function != "" {
 		args := make([]value, len(st.args))
 		for i, e := range st.args {
-			v, err := evaluator{params: params}.value(e)
+			v, err := evaluator{params: params}.evaluate(e)
 			if err != nil {
 				return nil, err
 			}
@@ -269,23 +270,24 @@
 		}
 		return s.callFunction(ctx, st, args)
 	}
-	return s.inSlot(ctx, st, params)
+	return s.executeInSlot(ctx, st, params)
 }
 
-// inSlot runs a statement while it holds one of the target's slots.
-func (s *session) inSlot(ctx context.Context, st *statement, params []value) (*result, error) {
+// executeInSlot runs a statement after it held one of the target's slots for the
+// service time.
+func (s *session) executeInSlot(ctx context.Context, st *statement, params []value) (*result, error) {
 	select {
 	case s.target.slots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, newError("57014", "canceling statement due to user request")
 	}
-	s.target.noteStatement()
-	finished := roseclock.Sleep(ctx, s.target.cost(st))
+	s.target.recordStatement()
+	finished := roseclock.Sleep(ctx, s.target.serviceTime(st))
 	<-s.target.slots
 	if !finished {
 		return nil, newError("57014", "canceling statement due to user request")
 	}
-	return s.transaction.run(ctx, st, params)
+	return s.transaction.execute(ctx, st, params)
 }
 
 func (s *session) statementContext() (context.Context, func()) {
@@ -301,7 +303,7 @@
 	}
 }
 
-// cancelStatement stops the statement that runs now, if any.
+// cancelStatement cancels the running statement, if any.
 func (s *session) cancelStatement() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -311,46 +313,46 @@
 }
 
 func (s *session) beginBlock() *result {
-	switch x := s.transaction; {
-	case x == nil:
+	switch tx := s.transaction; {
+	case tx == nil:
 		s.transaction = s.target.begin(true)
 	default:
-		x.explicit = true
+		tx.explicit = true
 	}
 	return &result{tag: "BEGIN"}
 }
 
-func (s *session) endBlock(verb string) (*result, error) {
-	x := s.transaction
+func (s *session) endBlock(command string) (*result, error) {
+	tx := s.transaction
 	s.transaction = nil
-	if x == nil {
-		return &result{tag: strings.ToUpper(verb)}, nil
+	if tx == nil {
+		return &result{tag: strings.ToUpper(command)}, nil
 	}
-	if verb == "rollback" || x.failed {
-		x.rollback()
+	if command == "rollback" || tx.failed {
+		tx.rollback()
 		return &result{tag: "ROLLBACK"}, nil
 	}
-	committed, err := x.commit()
+	committed, err := tx.commit()
 	if err != nil {
 		return nil, err
 	}
-	s.noteCommit(committed)
+	s.recordCommit(committed)
 	return &result{tag: "COMMIT"}, nil
 }
 
 func (s *session) show(st *statement) (*result, error) {
-	switch st.name {
+	switch st.settingName {
 	case "transaction":
-		return oneColumn("transaction_isolation", false, "read committed"), nil
+		return singleValue("transaction_isolation", false, "read committed"), nil
 	case "server_version":
-		return oneColumn(st.name, false, serverVersion), nil
+		return singleValue(st.settingName, false, serverVersion), nil
 	}
-	return oneColumn(st.name, false, "on"), nil
+	return singleValue(st.settingName, false, "on"), nil
 }
 
-// cost is how long a statement holds its slot.
-func (t *Target) cost(st *statement) time.Duration {
-	if st.verb != "select" {
+// serviceTime returns how long a statement holds its slot.
+func (t *Target) serviceTime(st *statement) time.Duration {
+	if st.command != "select" {
 		return t.config.WriteTime
 	}
 	for _, c := range st.where {
--- a/internal/rosetarget/table.go
+++ b/internal/rosetarget/table.go
@@ -22,31 +22,31 @@
 	PrimaryKey bool
 }
 
-// table holds rows by encoded key, with the keys in order.
+// table holds rows by encoded key, and the encoded keys in ascending order.
 type table struct {
-	columns []column
-	key     int
-	rows    map[string]row
-	order   []string
+	columns    []column
+	keyColumn  int
+	rows       map[string]row
+	sortedKeys []string
 }
 
 func newTable(columns []column) *table {
 	t := &table{columns: columns, rows: make(map[string]row)}
 	for i, c := range columns {
 		if c.PrimaryKey {
-			t.key = i
+			t.keyColumn = i
 		}
 	}
 	return t
 }
 
-func (t *table) index(name string) int {
+func (t *table) columnIndex(name string) int {
 	return slices.IndexFunc(t.columns, func(c column) bool { return c.Name == name })
 }
 
-// encodeKey returns a string that orders as the key column does.
+// encodeKey returns a string that sorts as the key column does.
 func (t *table) encodeKey(v value) string {
-	if !t.columns[t.key].Integer {
+	if !t.columns[t.keyColumn].Integer {
 		return v.Text
 	}
 	number, _ := strconv.ParseInt(v.Text, 10, 64)
@@ -55,8 +55,8 @@
 
 func (t *table) put(key string, r row) {
 	if _, exists := t.rows[key]; !exists {
-		at, _ := slices.BinarySearch(t.order, key)
-		t.order = slices.Insert(t.order, at, key)
+		index, _ := slices.BinarySearch(t.sortedKeys, key)
+		t.sortedKeys = slices.Insert(t.sortedKeys, index, key)
 	}
 	t.rows[key] = r
 }
@@ -66,16 +66,16 @@
 		return
 	}
 	delete(t.rows, key)
-	at, _ := slices.BinarySearch(t.order, key)
-	t.order = slices.Delete(t.order, at, at+1)
+	index, _ := slices.BinarySearch(t.sortedKeys, key)
+	t.sortedKeys = slices.Delete(t.sortedKeys, index, index+1)
 }
 
-// compareValues orders two fields of one column; null comes last.
-func compareValues(number bool, a, b value) int {
+// compareValues compares two fields of one column; NULL sorts last.
+func compareValues(integer bool, a, b value) int {
 	if a.Null || b.Null {
-		return cmp.Compare(boolInt(a.Null), boolInt(b.Null))
+		return cmp.Compare(boolToInt(a.Null), boolToInt(b.Null))
 	}
-	if number {
+	if integer {
 		x, _ := strconv.ParseInt(a.Text, 10, 64)
 		y, _ := strconv.ParseInt(b.Text, 10, 64)
 		return cmp.Compare(x, y)
@@ -83,14 +83,14 @@
 	return strings.Compare(a.Text, b.Text)
 }
 
-func boolInt(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func matches(operator string, order int) (bool, error) {
+func orderSatisfies(operator string, order int) (bool, error) {
 	switch operator {
 	case "=":
 		return order == 0, nil
--- a/internal/rosetarget/target.go
+++ b/internal/rosetarget/target.go
@@ -1,7 +1,7 @@
-// Package rosetarget is a stand-in for a database group: small table stores
-// behind PostgreSQL's protocol, with terms, log positions, asynchronous
-// replication, a connection limit and slots. It serves the demo, the load
-// tool and the tests, and is no database: it knows the SQL of two workloads.
+// Package rosetarget emulates a database group for the demo, the load tool and
+// the tests: in-memory tables behind PostgreSQL's protocol, with terms, log
+// positions, asynchronous replication, a connection limit and slots. It supports
+// only the SQL of two workloads.
 package rosetarget
 
 import (
@@ -17,25 +17,26 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Config sets up a Target.
+// Config configures a Target.
 type Config struct {
 	ID   rosemary.TargetID
 	Zone rosemary.Zone
-	// Slots is the number of statements that run at once.
+	// Slots is the number of statements that run concurrently.
 	Slots int
-	// Connections is the number of connections accepted at once.
+	// MaxConnections limits the open connections; further ones are refused.
 	MaxConnections int
-	// ConnectTime is what a new connection costs.
+	// ConnectTime is how long a connection takes to open.
 	ConnectTime time.Duration
-	// ReadTime and WriteTime are how long a statement holds its slot.
+	// ReadTime and WriteTime are how long a read or a write holds its slot.
 	ReadTime  time.Duration
 	WriteTime time.Duration
-	// ListTime is ReadTime's counterpart for reads of many rows.
+	// ScanTime applies instead of ReadTime, if longer, to reads without an
+	// equality condition.
 	ScanTime time.Duration
 	Network  *rosenet.Network
 }
 
-// Target is one stand-in database server.
+// Target is one emulated database server.
 type Target struct {
 	config  Config
 	cluster *Cluster
@@ -44,47 +45,47 @@
 	mu       sync.Mutex
 	changed  chan struct{}
 	data     *database
-	locks    map[lockKey]*rowLock
+	locks    map[rowID]*rowLock
 	term     uint64
 	proposer string
 	role     rosemary.Role
 	primary  rosemary.TargetID
 	leaving  bool
-	// heardAt is when the primary was last reached by replication.
-	heardAt   time.Time
-	streaming bool
-	lag       time.Duration
-	follow    context.CancelFunc
-	running   *run
+	// lastContact is when replication last reached the primary.
+	lastContact       time.Time
+	streaming         bool
+	lag               time.Duration
+	cancelReplication context.CancelFunc
+	run               *serverRun
 
-	// slowEvery and slowTime make every so many watches slow to answer.
-	slowEvery int
-	slowTime  time.Duration
-	watches   int
+	// Every slowWatchEvery-th watch is delayed by slowWatchDelay; 0 disables it.
+	slowWatchEvery int
+	slowWatchDelay time.Duration
+	watchCount     int
 
 	listenAddress string
-	// servedAt holds the times of the statements that held a slot.
-	servedAt []time.Time
+	// statementTimes holds the times at which statements acquired a slot.
+	statementTimes []time.Time
 }
 
-// run is one life of the server, from a start to a crash.
-type run struct {
-	ctx      context.Context
-	cancel   context.CancelFunc
-	listener net.Listener
-	sessions map[*session]struct{}
-	nextPID  uint32
-	tasks    sync.WaitGroup
+// serverRun is the state of the server between Start and Crash.
+type serverRun struct {
+	ctx        context.Context
+	cancel     context.CancelFunc
+	listener   net.Listener
+	sessions   map[*session]struct{}
+	nextPID    uint32
+	goroutines sync.WaitGroup
 }
 
-// Cluster is a group of stand-in targets that replicate to each other.
+// Cluster is a group of targets that replicate to each other.
 type Cluster struct {
 	network *rosenet.Network
 	targets map[rosemary.TargetID]*Target
 }
 
 // NewCluster returns a group of targets that aren't started yet. The first is
-// the primary of term 1 and the others follow it.
+// the primary of term 1 and the others are its replicas.
 func NewCluster(network *rosenet.Network, configs []Config) *Cluster {
 	cluster := &Cluster{network: network, targets: make(map[rosemary.TargetID]*Target)}
 	for i, c := range configs {
@@ -95,61 +96,62 @@
 			slots:   make(chan struct{}, c.Slots),
 			changed: make(chan struct{}),
 			data:    newDatabase(),
-			locks:   make(map[lockKey]*rowLock),
+			locks:   make(map[rowID]*rowLock),
 			term:    1,
 			role:    rosemary.RoleReplica,
 			primary: configs[0].ID,
 		}
 		if i == 0 {
 			t.role = rosemary.RolePrimary
-			t.data.append(record{term: 1, at: time.Now()})
+			t.data.append(record{term: 1, committedAt: time.Now()})
 		}
 		cluster.targets[c.ID] = t
 	}
 	return cluster
 }
 
-// Target returns the target of that identifier, or nil.
+// Target returns the target with that identifier, or nil.
 func (c *Cluster) Target(id rosemary.TargetID) *Target { return c.targets[id] }
 
-// Start listens and serves until Crash or Stop. An empty address takes a free
-// one at the first start; later starts take the same again.
+// Start listens and serves until Crash. The first start picks a free address,
+// which later starts reuse.
 func (t *Target) Start() error {
 	t.mu.Lock()
 	address := t.listenAddress
 	t.mu.Unlock()
-	listener, err := t.config.Network.Listen(t.place(), address)
+	listener, err := t.config.Network.Listen(t.host(), address)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &run{ctx: ctx, cancel: cancel, listener: listener, sessions: make(map[*session]struct{})}
+	r := &serverRun{ctx: ctx, cancel: cancel, listener: listener, sessions: make(map[*session]struct{})}
 	t.mu.Lock()
 	t.listenAddress = listener.Addr().String()
-	t.running = r
+	t.run = r
 	if t.role == rosemary.RoleReplica {
-		t.startFollowing()
+		t.startReplication()
 	}
 	t.mu.Unlock()
-	r.tasks.Go(func() { t.accept(r) })
+	r.goroutines.Go(func() { t.accept(r) })
 	return nil
 }
 
-// Address returns where the target listens.
+// Address returns the address on which the target listens.
 func (t *Target) Address() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.listenAddress
 }
 
-// Crash stops the server at once. The log remains, as on a disk.
+// Crash stops the server and closes its connections immediately. The log is
+// kept, as if on disk.
 func (t *Target) Crash() {
 	t.mu.Lock()
-	r := t.running
-	t.running = nil
-	if t.follow != nil {
-		t.follow()
-		t.follow = nil
+	r := t.run
+	t.run = nil
+	if t.cancelReplication != nil {
+		t.cancelReplication()
+		t.cancelReplication = nil
 	}
 	t.mu.Unlock()
 	if r == nil {
@@ -162,10 +164,10 @@
 		s.conn.Close()
 	}
 	t.mu.Unlock()
-	r.tasks.Wait()
+	r.goroutines.Wait()
 }
 
-// SetLag delays the application of replicated records by lag.
+// SetLag makes the replica hold back records committed less than lag ago.
 func (t *Target) SetLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -173,25 +175,25 @@
 	t.notify()
 }
 
-// SetSlowWatches makes one of every so many watches take longer to answer.
-func (t *Target) SetSlowWatches(every int, slow time.Duration) {
+// SetSlowWatches delays one of every so many watches by delay.
+func (t *Target) SetSlowWatches(every int, delay time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.slowEvery, t.slowTime = every, slow
+	t.slowWatchEvery, t.slowWatchDelay = every, delay
 }
 
-// slowness returns how much longer the next watch takes.
-func (t *Target) slowness() time.Duration {
+// nextWatchDelay returns the delay of the next watch.
+func (t *Target) nextWatchDelay() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.watches++
-	if t.slowEvery == 0 || t.watches%t.slowEvery != 0 {
+	t.watchCount++
+	if t.slowWatchEvery == 0 || t.watchCount%t.slowWatchEvery != 0 {
 		return 0
 	}
-	return t.slowTime
+	return t.slowWatchDelay
 }
 
-// SetLeaving makes the target ask for no new work.
+// SetLeaving sets whether the target asks, in its status, for no new work.
 func (t *Target) SetLeaving(leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -199,37 +201,37 @@
 	t.notify()
 }
 
-// Status returns what the target would report now.
+// Status returns the target's current status.
 func (t *Target) Status() rosemary.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.status()
 }
 
-// Rows returns the fields of every row of a table, by key.
+// Rows returns the fields of every row of a table by primary key.
 func (t *Target) Rows(name string) map[string][]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rows := make(map[string][]string)
-	found := t.data.tables[name]
-	if found == nil {
+	tbl := t.data.tables[name]
+	if tbl == nil {
 		return rows
 	}
-	for _, r := range found.rows {
+	for _, r := range tbl.rows {
 		fields := make([]string, len(r))
 		for i, v := range r {
 			fields[i] = v.Text
 		}
-		rows[r[found.key].Text] = fields
+		rows[r[tbl.keyColumn].Text] = fields
 	}
 	return rows
 }
 
-func (t *Target) place() rosenet.Host {
+func (t *Target) host() rosenet.Host {
 	return rosenet.Host{Name: string(t.config.ID), Zone: string(t.config.Zone)}
 }
 
-// status is Status with the lock held.
+// status returns the current status. The caller holds mu.
 func (t *Target) status() rosemary.Status {
 	return rosemary.Status{
 		Target:   t.config.ID,
@@ -244,13 +246,13 @@
 	}
 }
 
-// notify wakes everything that waits for a change. The lock is held.
+// notify wakes all goroutines waiting for a change. The caller holds mu.
 func (t *Target) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-func (t *Target) accept(r *run) {
+func (t *Target) accept(r *serverRun) {
 	for {
 		conn, err := r.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -259,15 +261,16 @@
 		if err != nil {
 			continue
 		}
-		r.tasks.Go(func() { t.serve(r, conn) })
+		r.goroutines.Go(func() { t.serve(r, conn) })
 	}
 }
 
-// enter registers a session. It reports false at the connection limit.
-func (t *Target) enter(r *run, s *session) bool {
+// addSession registers a session. It reports false if the connection limit is
+// reached or the server has stopped.
+func (t *Target) addSession(r *serverRun, s *session) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.running != r || len(r.sessions) >= t.config.MaxConnections {
+	if t.run != r || len(r.sessions) >= t.config.MaxConnections {
 		return false
 	}
 	r.nextPID++
@@ -276,14 +279,14 @@
 	return true
 }
 
-func (t *Target) leave(r *run, s *session) {
+func (t *Target) removeSession(r *serverRun, s *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(r.sessions, s)
 }
 
-// cancelRequest cancels the statement of the session with that key.
-func (t *Target) cancelRequest(r *run, pid uint32) {
+// cancelRequest cancels the statement of the session with that process ID.
+func (t *Target) cancelRequest(r *serverRun, pid uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for s := range r.sessions {
@@ -293,7 +296,7 @@
 	}
 }
 
-// Close stops every target of the group.
+// Close stops all targets of the group.
 func (c *Cluster) Close() {
 	for _, t := range c.targets {
 		t.Crash()
--- a/internal/rosetarget/transaction.go
+++ b/internal/rosetarget/transaction.go
@@ -9,31 +9,32 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// lockTimeout bounds the wait for a row that another transaction holds.
+// lockTimeout bounds the wait for a row locked by another transaction.
 const lockTimeout = time.Second
 
-// lockKey names a row.
-type lockKey struct {
+// rowID identifies a row by table and encoded key.
+type rowID struct {
 	table string
 	key   string
 }
 
-// rowLock is held by one transaction; released is closed at its end.
+// rowLock is held by one transaction; released is closed when it ends.
 type rowLock struct {
 	owner    *transaction
 	released chan struct{}
 }
 
-// transaction collects the operations of one transaction. Its overlay shows
-// them to the transaction itself before they are committed.
+// transaction collects the operations of one transaction until its commit. The
+// overlay makes its row changes visible to its own reads; a nil row is a deleted
+// one.
 type transaction struct {
 	target   *Target
 	term     uint64
 	explicit bool
 	failed   bool
 	ops      []op
-	overlay  map[lockKey]row
-	locks    map[lockKey]*rowLock
+	overlay  map[rowID]row
+	locks    map[rowID]*rowLock
 }
 
 func (t *Target) begin(explicit bool) *transaction {
@@ -43,73 +44,73 @@
 		target:   t,
 		term:     t.term,
 		explicit: explicit,
-		overlay:  make(map[lockKey]row),
-		locks:    make(map[lockKey]*rowLock),
+		overlay:  make(map[rowID]row),
+		locks:    make(map[rowID]*rowLock),
 	}
 }
 
-// lock takes a row for the transaction, waiting for its holder.
-func (x *transaction) lock(ctx context.Context, key lockKey) error {
+// lockRow locks a row, waiting for the transaction that holds it.
+func (tx *transaction) lockRow(ctx context.Context, id rowID) error {
 	deadline := time.NewTimer(lockTimeout)
 	defer deadline.Stop()
 	for {
-		x.target.mu.Lock()
-		held := x.target.locks[key]
-		if held == nil || held.owner == x {
-			if held == nil {
-				held = &rowLock{owner: x, released: make(chan struct{})}
-				x.target.locks[key] = held
-				x.locks[key] = held
+		tx.target.mu.Lock()
+		lock := tx.target.locks[id]
+		if lock == nil || lock.owner == tx {
+			if lock == nil {
+				lock = &rowLock{owner: tx, released: make(chan struct{})}
+				tx.target.locks[id] = lock
+				tx.locks[id] = lock
 			}
-			x.target.mu.Unlock()
+			tx.target.mu.Unlock()
 			return nil
 		}
-		x.target.mu.Unlock()
+		tx.target.mu.Unlock()
 		select {
-		case <-held.released:
+		case <-lock.released:
 		case <-deadline.C:
-			return newError("55P03", "row %s of %s is locked by another transaction", key.key, key.table)
+			return newError("55P03", "row %s of %s is locked by another transaction", id.key, id.table)
 		case <-ctx.Done():
 			return newError("57014", "canceling statement due to user request")
 		}
 	}
 }
 
-// unlock frees every row. The target's lock is held.
-func (x *transaction) unlock() {
-	for key, held := range x.locks {
-		delete(x.target.locks, key)
-		close(held.released)
+// releaseLocks unlocks all rows. The caller holds the target's mu.
+func (tx *transaction) releaseLocks() {
+	for id, lock := range tx.locks {
+		delete(tx.target.locks, id)
+		close(lock.released)
 	}
-	x.locks = make(map[lockKey]*rowLock)
+	tx.locks = make(map[rowID]*rowLock)
 }
 
-// find returns the row as the transaction sees it; nil if there is none. The
-// target's lock is held.
-func (x *transaction) find(name, key string) row {
-	if r, changed := x.overlay[lockKey{name, key}]; changed {
+// find returns the row as visible to the transaction, or nil. The caller holds
+// the target's mu.
+func (tx *transaction) find(name, key string) row {
+	if r, changed := tx.overlay[rowID{name, key}]; changed {
 		return r
 	}
-	if t := x.target.data.tables[name]; t != nil {
+	if t := tx.target.data.tables[name]; t != nil {
 		return t.rows[key]
 	}
 	return nil
 }
 
-// keys lists the keys of a table as the transaction sees it, in order. The
-// target's lock is held.
-func (x *transaction) keys(name string) []string {
+// keys returns the sorted keys of a table, including those that the transaction
+// added or deleted. The caller holds the target's mu.
+func (tx *transaction) keys(name string) []string {
 	var keys []string
-	if t := x.target.data.tables[name]; t != nil {
-		keys = t.order
+	if t := tx.target.data.tables[name]; t != nil {
+		keys = t.sortedKeys
 	}
 	var added []string
-	for k := range x.overlay {
-		if k.table != name {
+	for id := range tx.overlay {
+		if id.table != name {
 			continue
 		}
-		if _, found := slices.BinarySearch(keys, k.key); !found {
-			added = append(added, k.key)
+		if _, found := slices.BinarySearch(keys, id.key); !found {
+			added = append(added, id.key)
 		}
 	}
 	if len(added) == 0 {
@@ -120,82 +121,83 @@
 	return merged
 }
 
-func (x *transaction) write(o op) {
-	x.ops = append(x.ops, o)
-	x.overlay[lockKey{o.table, o.key}] = o.row
+func (tx *transaction) write(o op) {
+	tx.ops = append(tx.ops, o)
+	tx.overlay[rowID{o.table, o.key}] = o.row
 }
 
-// commit writes the operations as one record. It refuses when the target has
-// lost its term, in which case nothing of the transaction remains.
-func (x *transaction) commit() (rosemary.Position, error) {
-	t := x.target
+// commit appends the operations to the log as one record. It fails, and discards
+// them, if the target is no longer primary of the term in which the transaction
+// began.
+func (tx *transaction) commit() (rosemary.Position, error) {
+	t := tx.target
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer x.unlock()
-	if len(x.ops) == 0 {
+	defer tx.releaseLocks()
+	if len(tx.ops) == 0 {
 		return rosemary.Position{}, nil
 	}
-	if t.role != rosemary.RolePrimary || t.term != x.term {
+	if t.role != rosemary.RolePrimary || t.term != tx.term {
 		return rosemary.Position{}, readOnlyError()
 	}
-	t.data.append(record{term: t.term, at: time.Now(), ops: x.ops})
+	t.data.append(record{term: t.term, committedAt: time.Now(), ops: tx.ops})
 	t.notify()
 	return t.data.position(), nil
 }
 
-func (x *transaction) rollback() {
-	x.target.mu.Lock()
-	defer x.target.mu.Unlock()
-	x.unlock()
+func (tx *transaction) rollback() {
+	tx.target.mu.Lock()
+	defer tx.target.mu.Unlock()
+	tx.releaseLocks()
 }
 
 func readOnlyError() *sqlError {
 	return newError("25006", "cannot execute a write on a read-only target")
 }
 
-// evaluator turns expressions into values.
+// evaluator evaluates expressions for a row, if there is one.
 type evaluator struct {
 	params []value
 	table  *table
 	row    row
 }
 
-func (e evaluator) value(x expression) (value, error) {
-	base, err := e.base(x)
-	if err != nil || x.addend == nil {
-		return base, err
+func (e evaluator) evaluate(expr expression) (value, error) {
+	operand, err := e.operand(expr)
+	if err != nil || expr.addend == nil {
+		return operand, err
 	}
-	addend, err := e.value(*x.addend)
+	addend, err := e.evaluate(*expr.addend)
 	if err != nil {
 		return value{}, err
 	}
-	a, errA := strconv.ParseInt(base.Text, 10, 64)
+	a, errA := strconv.ParseInt(operand.Text, 10, 64)
 	b, errB := strconv.ParseInt(addend.Text, 10, 64)
 	if errA != nil || errB != nil {
 		return value{}, newError("22P02", "invalid input for integer arithmetic")
 	}
-	if x.negate {
+	if expr.negate {
 		b = -b
 	}
 	return value{Text: strconv.FormatInt(a+b, 10)}, nil
 }
 
-func (e evaluator) base(x expression) (value, error) {
+func (e evaluator) operand(expr expression) (value, error) {
 	switch {
-	case x.param > 0:
-		if x.param > len(e.params) {
-			return value{}, newError("42P02", "there is no parameter $%d", x.param)
+	case expr.param > 0:
+		if expr.param > len(e.params) {
+			return value{}, newError("42P02", "there is no parameter $%d", expr.param)
 		}
-		return e.params[x.param-1], nil
-	case x.column != "":
+		return e.params[expr.param-1], nil
+	case expr.column != "":
 		if e.table == nil || e.row == nil {
-			return value{}, newError("42703", "column %q does not exist", x.column)
+			return value{}, newError("42703", "column %q does not exist", expr.column)
 		}
-		at := e.table.index(x.column)
-		if at < 0 {
-			return value{}, newError("42703", "column %q does not exist", x.column)
+		index := e.table.columnIndex(expr.column)
+		if index < 0 {
+			return value{}, newError("42703", "column %q does not exist", expr.column)
 		}
-		return e.row[at], nil
+		return e.row[index], nil
 	}
-	return x.literal, nil
+	return expr.literal, nil
 }
