--- a/internal/rosekv/server.go
+++ b/internal/rosekv/server.go
@@ -1,6 +1,6 @@
-// Package rosekv is a stand-in for the platform: its key-value service, by the
-// published gateway protocol, and its list of VMs. It can be down, slow,
-// forgetful of answers, or answer from the past.
+// Package rosekv implements a fake of the platform's key-value service, which
+// speaks the JSON gateway protocol of etcd, and of its list of VMs. It can be
+// made unresponsive or slow, drop responses, and serve stale reads.
 package rosekv
 
 import (
@@ -17,47 +17,50 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// progressInterval separates the notes that keep a watch alive.
+// progressInterval is the interval between the empty messages that keep a watch
+// alive.
 const progressInterval = 5 * time.Second
 
-// Server is the stand-in platform. Its methods may be called concurrently.
+// Server is the fake platform. Its methods may be called concurrently.
 type Server struct {
 	http *http.Server
 
-	mu       sync.Mutex
-	changed  chan struct{}
-	values   map[string]versioned
-	past     map[string]versioned
-	revision int64
-	calls    map[string]int
-	members  []rosemary.Member
-	listLag  []timedMembers
-	lag      time.Duration
-
-	down        bool
-	loseAnswers bool
-	fromPast    bool
-	delay       time.Duration
+	mu             sync.Mutex
+	changed        chan struct{}
+	values         map[string]versionedValue
+	staleValues    map[string]versionedValue
+	revision       int64
+	calls          map[string]int
+	members        []rosemary.Member
+	pendingMembers []membersUpdate
+	membersLag     time.Duration
+
+	down          bool
+	dropResponses bool
+	staleReads    bool
+	delay         time.Duration
 }
 
-type versioned struct {
+type versionedValue struct {
 	value    []byte
 	revision int64
 }
 
-type timedMembers struct {
+// membersUpdate is a new list of VMs, served once it is older than membersLag.
+type membersUpdate struct {
 	at      time.Time
 	members []rosemary.Member
 }
 
-// NewServer returns a platform without keys. The VM list lags by lag.
-func NewServer(lag time.Duration) *Server {
+// NewServer returns a platform without keys. Changes of the VM list become
+// visible after membersLag.
+func NewServer(membersLag time.Duration) *Server {
 	s := &Server{
-		changed: make(chan struct{}),
-		values:  make(map[string]versioned),
-		past:    make(map[string]versioned),
-		calls:   make(map[string]int),
-		lag:     lag,
+		changed:     make(chan struct{}),
+		values:      make(map[string]versionedValue),
+		staleValues: make(map[string]versionedValue),
+		calls:       make(map[string]int),
+		membersLag:  membersLag,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v3/kv/range", s.handleRange)
@@ -68,47 +71,47 @@
 	return s
 }
 
-// Serve answers calls from listener until Close.
+// Serve serves calls until Close.
 func (s *Server) Serve(listener net.Listener) { _ = s.http.Serve(listener) }
 
-// Close ends every call.
+// Close closes the listener and all connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// SetDown makes every call hang until its caller gives up.
-func (s *Server) SetDown(down bool) { s.set(func() { s.down = down }) }
+// SetDown makes calls hang until they are canceled or the server is up again.
+func (s *Server) SetDown(down bool) { s.update(func() { s.down = down }) }
 
-// SetDropResponses makes writes take effect without an answer.
-func (s *Server) SetDropResponses(lose bool) { s.set(func() { s.loseAnswers = lose }) }
+// SetDropResponses makes transactions take effect without a response.
+func (s *Server) SetDropResponses(drop bool) { s.update(func() { s.dropResponses = drop }) }
 
-// SetStaleReads makes reads answer from the state at the time of the call.
-func (s *Server) SetStaleReads(past bool) {
-	s.set(func() {
-		s.fromPast = past
-		s.past = make(map[string]versioned)
+// SetStaleReads makes reads return the state as of this call.
+func (s *Server) SetStaleReads(stale bool) {
+	s.update(func() {
+		s.staleReads = stale
+		s.staleValues = make(map[string]versionedValue)
 		for k, v := range s.values {
-			s.past[k] = v
+			s.staleValues[k] = v
 		}
 	})
 }
 
-// SetDelay makes every call take longer.
-func (s *Server) SetDelay(delay time.Duration) { s.set(func() { s.delay = delay }) }
+// SetDelay delays every call.
+func (s *Server) SetDelay(delay time.Duration) { s.update(func() { s.delay = delay }) }
 
-// SetMembers changes the list of VMs, which callers see after the lag.
+// SetMembers changes the list of VMs. Clients see it after the lag.
 func (s *Server) SetMembers(members []rosemary.Member) {
-	s.set(func() { s.listLag = append(s.listLag, timedMembers{time.Now(), members}) })
+	s.update(func() { s.pendingMembers = append(s.pendingMembers, membersUpdate{time.Now(), members}) })
 }
 
-// PublishMembers makes the list of VMs current at once.
+// PublishMembers makes pending changes of the VM list visible at once.
 func (s *Server) PublishMembers() {
-	s.set(func() {
-		for i := range s.listLag {
-			s.listLag[i].at = time.Time{}
+	s.update(func() {
+		for i := range s.pendingMembers {
+			s.pendingMembers[i].at = time.Time{}
 		}
 	})
 }
 
-// CallCounts returns how often each call was made.
+// CallCounts returns the number of calls by endpoint.
 func (s *Server) CallCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,22 +122,23 @@
 	return calls
 }
 
-func (s *Server) set(change func()) {
+func (s *Server) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
-	s.wake()
+	s.notifyWaiters()
 }
 
-// wake wakes everything that waits. The lock is held.
-func (s *Server) wake() {
+// notifyWaiters wakes the calls and watches that wait for a change. The lock is
+// held.
+func (s *Server) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// enter counts a call and applies the faults. It reports false when the call
-// is not to be answered.
-func (s *Server) enter(ctx context.Context, call string) bool {
+// startCall counts a call and applies the injected faults. It reports false if
+// the call must not be answered.
+func (s *Server) startCall(ctx context.Context, call string) bool {
 	s.mu.Lock()
 	s.calls[call]++
 	delay := s.delay
@@ -169,13 +173,13 @@
 
 func (s *Server) handleRange(w http.ResponseWriter, r *http.Request) {
 	var request gatewayKV
-	if !decode(w, r, &request) || !s.enter(r.Context(), "range") {
+	if !decode(w, r, &request) || !s.startCall(r.Context(), "range") {
 		return
 	}
 	s.mu.Lock()
 	values := s.values
-	if s.fromPast {
-		values = s.past
+	if s.staleReads {
+		values = s.staleValues
 	}
 	found, ok := values[string(request.Key)]
 	s.mu.Unlock()
@@ -183,7 +187,7 @@
 	if ok {
 		kvs = append(kvs, gatewayKV{request.Key, found.value, strconv.FormatInt(found.revision, 10)})
 	}
-	reply(w, struct {
+	writeJSON(w, struct {
 		KVs []gatewayKV `json:"kvs"`
 	}{kvs})
 }
@@ -200,7 +204,7 @@
 
 func (s *Server) handleTxn(w http.ResponseWriter, r *http.Request) {
 	var request txnBody
-	if !decode(w, r, &request) || !s.enter(r.Context(), "txn") {
+	if !decode(w, r, &request) || !s.startCall(r.Context(), "txn") {
 		return
 	}
 	s.mu.Lock()
@@ -212,18 +216,18 @@
 		s.revision++
 		for _, op := range request.Success {
 			if op.RequestPut != nil {
-				s.values[string(op.RequestPut.Key)] = versioned{op.RequestPut.Value, s.revision}
+				s.values[string(op.RequestPut.Key)] = versionedValue{op.RequestPut.Value, s.revision}
 			}
 		}
-		s.wake()
+		s.notifyWaiters()
 	}
-	lose := s.loseAnswers
+	drop := s.dropResponses
 	s.mu.Unlock()
-	if lose {
+	if drop {
 		<-r.Context().Done()
 		return
 	}
-	reply(w, struct {
+	writeJSON(w, struct {
 		Succeeded bool `json:"succeeded"`
 	}{succeeded})
 }
@@ -232,12 +236,12 @@
 	var request struct {
 		CreateRequest gatewayKV `json:"create_request"`
 	}
-	if !decode(w, r, &request) || !s.enter(r.Context(), "watch") {
+	if !decode(w, r, &request) || !s.startCall(r.Context(), "watch") {
 		return
 	}
 	key := string(request.CreateRequest.Key)
 	s.mu.Lock()
-	sent := s.values[key].revision
+	sentRevision := s.values[key].revision
 	s.mu.Unlock()
 	flusher, _ := w.(http.Flusher)
 	writeEvents(w, nil)
@@ -246,11 +250,11 @@
 	defer progress.Stop()
 	for {
 		s.mu.Lock()
-		now, changed, down := s.values[key], s.changed, s.down
+		current, changed, down := s.values[key], s.changed, s.down
 		s.mu.Unlock()
-		if now.revision > sent && !down {
-			sent = now.revision
-			writeEvents(w, &gatewayKV{[]byte(key), now.value, strconv.FormatInt(now.revision, 10)})
+		if current.revision > sentRevision && !down {
+			sentRevision = current.revision
+			writeEvents(w, &gatewayKV{[]byte(key), current.value, strconv.FormatInt(current.revision, 10)})
 			flusher.Flush()
 		}
 		select {
@@ -285,7 +289,7 @@
 	_ = json.NewEncoder(w).Encode(message)
 }
 
-// member is a VM as the platform's list writes it.
+// member is an entry of the VM list.
 type member struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -294,32 +298,32 @@
 }
 
 func (s *Server) handleMembers(w http.ResponseWriter, r *http.Request) {
-	if !s.enter(r.Context(), "vms") {
+	if !s.startCall(r.Context(), "vms") {
 		return
 	}
 	s.mu.Lock()
-	for len(s.listLag) > 0 && time.Since(s.listLag[0].at) >= s.lag {
-		s.members = s.listLag[0].members
-		s.listLag = s.listLag[1:]
+	for len(s.pendingMembers) > 0 && time.Since(s.pendingMembers[0].at) >= s.membersLag {
+		s.members = s.pendingMembers[0].members
+		s.pendingMembers = s.pendingMembers[1:]
 	}
 	list := make([]member, 0, len(s.members))
 	for _, m := range s.members {
 		list = append(list, member{string(m.Proxy), string(m.Zone), m.Address, m.Leaving})
 	}
 	s.mu.Unlock()
-	reply(w, list)
+	writeJSON(w, list)
 }
 
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
-	const maxBody = 4 << 20
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(into); err != nil {
+	const maxBodyBytes = 4 << 20
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into); err != nil {
 		http.Error(w, trace.UserMessage(err), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-func reply(w http.ResponseWriter, answer any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(body)
 }
