--- a/internal/rosenet/link.go
+++ b/internal/rosenet/link.go
@@ -9,38 +9,40 @@
 	"github.com/rosemarywell/rosemarywell/pkg/roseclock"
 )
 
-// queueChunks bounds the chunks that a stream holds in flight.
-const queueChunks = 256
+// maxQueuedChunks bounds the chunks in flight per direction of a stream.
+const maxQueuedChunks = 256
 
-// chunkBytes is the size of one read.
-const chunkBytes = 16 << 10
+// readBufferBytes is the maximum size of a chunk.
+const readBufferBytes = 16 << 10
 
-// link joins the two ends of a delayed stream.
-type link struct {
+// stream connects two hosts. It delivers data after the one-way delay, and
+// stalls while the hosts are blocked from each other.
+type stream struct {
 	network  *Network
 	from, to Host
 	ctx      context.Context
 	cancel   context.CancelFunc
-	silent   chan struct{}
-	once     sync.Once
+	// stalled is closed once the stream is stalled for good.
+	stalled chan struct{}
+	once    sync.Once
 }
 
-func (l *link) silence() {
-	l.once.Do(func() { close(l.silent) })
+func (s *stream) stall() {
+	s.once.Do(func() { close(s.stalled) })
 }
 
 type chunk struct {
-	due  time.Time
-	data []byte
+	deliverAt time.Time
+	data      []byte
 }
 
-// join returns the caller's end of a stream whose other end is inner.
-func (n *Network) join(from, to Host, inner net.Conn) net.Conn {
+// newStream returns the dialing end of a stream whose other end is inner.
+func (n *Network) newStream(from, to Host, inner net.Conn) net.Conn {
 	near, far := net.Pipe()
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &link{network: n, from: from, to: to, ctx: ctx, cancel: cancel, silent: make(chan struct{})}
+	s := &stream{network: n, from: from, to: to, ctx: ctx, cancel: cancel, stalled: make(chan struct{})}
 	n.mu.Lock()
-	n.links[l] = struct{}{}
+	n.streams[s] = struct{}{}
 	n.mu.Unlock()
 	delay := n.config.Delay(from, to)
 	stop := context.AfterFunc(ctx, func() {
@@ -48,28 +50,29 @@
 		inner.Close()
 	})
 	n.tasks.Go(func() {
-		var pumps sync.WaitGroup
-		pumps.Go(func() { l.pump(far, inner, delay) })
-		pumps.Go(func() { l.pump(inner, far, delay) })
-		pumps.Wait()
+		var copies sync.WaitGroup
+		copies.Go(func() { s.copyDelayed(far, inner, delay) })
+		copies.Go(func() { s.copyDelayed(inner, far, delay) })
+		copies.Wait()
 		stop()
 		cancel()
 		n.mu.Lock()
-		delete(n.links, l)
+		delete(n.streams, s)
 		n.mu.Unlock()
 	})
 	return near
 }
 
-// pump carries bytes from source to sink until either closes.
-func (l *link) pump(source, sink net.Conn, delay time.Duration) {
-	queue := make(chan chunk, queueChunks)
+// copyDelayed copies data from source to sink until either is closed. It then
+// closes both and drains the queue.
+func (s *stream) copyDelayed(source, sink net.Conn, delay time.Duration) {
+	queue := make(chan chunk, maxQueuedChunks)
 	stop := make(chan struct{})
 	go func() {
 		defer close(queue)
-		l.fill(source, queue, delay, stop)
+		s.readChunks(source, queue, delay, stop)
 	}()
-	l.drain(sink, queue)
+	s.writeChunks(sink, queue)
 	close(stop)
 	sink.Close()
 	source.Close()
@@ -78,14 +81,14 @@
 	}
 }
 
-func (l *link) fill(source net.Conn, queue chan<- chunk, delay time.Duration, stop <-chan struct{}) {
-	buffer := make([]byte, chunkBytes)
+func (s *stream) readChunks(source net.Conn, queue chan<- chunk, delay time.Duration, stop <-chan struct{}) {
+	buffer := make([]byte, readBufferBytes)
 	for {
 		size, err := source.Read(buffer)
 		if size > 0 {
 			data := append([]byte(nil), buffer[:size]...)
 			select {
-			case queue <- chunk{due: time.Now().Add(delay), data: data}:
+			case queue <- chunk{deliverAt: time.Now().Add(delay), data: data}:
 			case <-stop:
 				return
 			}
@@ -96,24 +99,26 @@
 	}
 }
 
-func (l *link) drain(sink net.Conn, queue <-chan chunk) {
+func (s *stream) writeChunks(sink net.Conn, queue <-chan chunk) {
 	for c := range queue {
-		if !roseclock.Sleep(l.ctx, time.Until(c.due)) || !l.passable() {
+		if !roseclock.Sleep(s.ctx, time.Until(c.deliverAt)) || !s.waitUnblocked() {
 			return
 		}
 		if _, err := sink.Write(c.data); err != nil {
 			return
 		}
 	}
-	l.passable()
+	// The end of a stream can't pass a block either.
+	s.waitUnblocked()
 }
 
-// passable waits for a cut to heal. It reports false once the link is over.
-func (l *link) passable() bool {
+// waitUnblocked waits until data can pass. It reports false if the stream has
+// ended or was stalled for stallTimeout.
+func (s *stream) waitUnblocked() bool {
 	for {
-		blocked, changed := l.network.state(l.from, l.to)
+		blocked, changed := s.network.pathState(s.from, s.to)
 		select {
-		case <-l.silent:
+		case <-s.stalled:
 			blocked = true
 			changed = nil
 		default:
@@ -123,14 +128,14 @@
 		}
 		select {
 		case <-changed:
-		case <-l.ctx.Done():
+		case <-s.ctx.Done():
 			return false
-		case <-time.After(stallLimit):
+		case <-time.After(stallTimeout):
 			return false
 		}
 	}
 }
 
-// stallLimit ends a stream that has been stalled for as long as a host's
-// retransmissions would last in a short test.
-const stallLimit = 60 * time.Second
+// stallTimeout is the time after which a stalled stream ends. It models the
+// retransmission timeout of TCP, shortened for tests.
+const stallTimeout = 60 * time.Second
--- a/internal/rosenet/memory.go
+++ b/internal/rosenet/memory.go
@@ -10,13 +10,13 @@
 	"github.com/gravitational/trace"
 )
 
-// memoryListener accepts streams within the process.
+// memoryListener accepts streams of the same process.
 type memoryListener struct {
-	network *Network
-	address string
-	accept  chan net.Conn
-	done    chan struct{}
-	once    sync.Once
+	network  *Network
+	address  string
+	incoming chan net.Conn
+	done     chan struct{}
+	once     sync.Once
 }
 
 type memoryAddr string
@@ -24,19 +24,19 @@
 func (memoryAddr) Network() string  { return "memory" }
 func (a memoryAddr) String() string { return string(a) }
 
-func (n *Network) listenInMemory(place Host, address string) net.Listener {
+func (n *Network) listenInMemory(host Host, address string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if address == "" {
-		address = place.Name + ":" + strconv.Itoa(len(n.places)+1)
+		address = host.Name + ":" + strconv.Itoa(len(n.hosts)+1)
 	}
 	listener := &memoryListener{
-		network: n,
-		address: address,
-		accept:  make(chan net.Conn),
-		done:    make(chan struct{}),
+		network:  n,
+		address:  address,
+		incoming: make(chan net.Conn),
+		done:     make(chan struct{}),
 	}
-	n.places[address] = place
+	n.hosts[address] = host
 	n.listeners[address] = listener
 	return listener
 }
@@ -44,7 +44,7 @@
 func (l *memoryListener) dial(ctx context.Context) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
-	case l.accept <- far:
+	case l.incoming <- far:
 		return near, nil
 	case <-l.done:
 		return nil, trace.ConnectionProblem(syscall.ECONNREFUSED, "connection refused")
@@ -53,17 +53,17 @@
 	}
 }
 
-// Accept waits for the next stream.
+// Accept returns the next incoming stream.
 func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-l.accept:
+	case conn := <-l.incoming:
 		return conn, nil
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close refuses further streams.
+// Close stops accepting streams.
 func (l *memoryListener) Close() error {
 	l.once.Do(func() {
 		close(l.done)
@@ -76,5 +76,5 @@
 	return nil
 }
 
-// Addr returns the name that Dial takes.
+// Addr returns the address to pass to Dial.
 func (l *memoryListener) Addr() net.Addr { return memoryAddr(l.address) }
--- a/internal/rosenet/network.go
+++ b/internal/rosenet/network.go
@@ -1,6 +1,7 @@
-// Package rosenet is a small stand-in network for the demo, the load tool and
-// the tests: streams with a one-way delay that can be cut, healed or silenced.
-// It runs over loopback TCP, or in memory so that a paused clock can drive it.
+// Package rosenet simulates a network for the demo, the load tool and the tests.
+// Its streams have a one-way delay and can be blocked, unblocked or stalled for
+// good. It runs over loopback TCP, or in memory so that it works with the fake
+// clock of testing/synctest.
 package rosenet
 
 import (
@@ -21,31 +22,33 @@
 	Zone string
 }
 
-// Config sets up a Network.
+// Config configures a Network.
 type Config struct {
-	// Delay returns the one-way delay between two places.
+	// Delay returns the one-way delay between two hosts. Nil means no delay.
 	Delay func(from, to Host) time.Duration
 	// InMemory keeps streams within the process, without sockets.
 	InMemory bool
 }
 
-// Network connects places. Its methods may be called concurrently.
+// Network connects hosts. Its methods may be called concurrently.
 type Network struct {
 	config Config
-	// ctx ends with the network.
+	// ctx is canceled by Close.
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mu        sync.Mutex
-	changed   chan struct{}
-	places    map[string]Host
+	mu sync.Mutex
+	// changed is closed and replaced whenever blocked changes.
+	changed chan struct{}
+	// hosts maps the address of a listener to its host.
+	hosts     map[string]Host
 	listeners map[string]*memoryListener
 	blocked   func(from, to Host) bool
-	links     map[*link]struct{}
+	streams   map[*stream]struct{}
 	tasks     sync.WaitGroup
 }
 
-// NewNetwork returns a network without places.
+// NewNetwork returns a network without hosts.
 func NewNetwork(config Config) *Network {
 	if config.Delay == nil {
 		config.Delay = func(Host, Host) time.Duration { return 0 }
@@ -56,16 +59,16 @@
 		ctx:       ctx,
 		cancel:    cancel,
 		changed:   make(chan struct{}),
-		places:    make(map[string]Host),
+		hosts:     make(map[string]Host),
 		listeners: make(map[string]*memoryListener),
-		links:     make(map[*link]struct{}),
+		streams:   make(map[*stream]struct{}),
 	}
 }
 
-// Listen opens a listener at place. An empty address takes a free one.
-func (n *Network) Listen(place Host, address string) (net.Listener, error) {
+// Listen opens a listener on a host. An empty address stands for a free one.
+func (n *Network) Listen(host Host, address string) (net.Listener, error) {
 	if n.config.InMemory {
-		return n.listenInMemory(place, address), nil
+		return n.listenInMemory(host, address), nil
 	}
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -76,12 +79,13 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.places[listener.Addr().String()] = place
+	n.hosts[listener.Addr().String()] = host
 	return listener, nil
 }
 
-// SetBlocked installs the predicate that tells which places can't reach each
-// other. Streams between them stall, as TCP does, until they are healed.
+// SetBlocked installs the predicate that reports which hosts can't reach each
+// other; nil unblocks all. Streams between them stall, as TCP does, until they
+// are unblocked.
 func (n *Network) SetBlocked(blocked func(from, to Host) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -90,24 +94,24 @@
 	n.changed = make(chan struct{})
 }
 
-// StallStreams stalls for good every stream that is open now to or from name.
-// Streams opened later work.
+// StallStreams stalls all open streams to or from the host for good. Streams
+// opened later work.
 func (n *Network) StallStreams(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for l := range n.links {
-		if l.from.Name == name || l.to.Name == name {
-			l.silence()
+	for s := range n.streams {
+		if s.from.Name == name || s.to.Name == name {
+			s.stall()
 		}
 	}
 }
 
-// Close ends every stream and waits until nothing of the network runs.
+// Close closes all streams and waits for their goroutines.
 func (n *Network) Close() {
 	n.cancel()
 	n.mu.Lock()
-	for l := range n.links {
-		l.cancel()
+	for s := range n.streams {
+		s.cancel()
 	}
 	n.mu.Unlock()
 	n.tasks.Wait()
@@ -115,24 +119,26 @@
 
 // Blocked reports whether from and to can't reach each other.
 func (n *Network) Blocked(from, to Host) bool {
-	blocked, _ := n.state(from, to)
+	blocked, _ := n.pathState(from, to)
 	return blocked
 }
 
-// Delay returns the one-way delay between two places.
+// Delay returns the one-way delay between two hosts.
 func (n *Network) Delay(from, to Host) time.Duration {
 	return n.config.Delay(from, to)
 }
 
-func (n *Network) state(from, to Host) (bool, <-chan struct{}) {
+// pathState returns whether the path is blocked, and a channel that is closed
+// when this may have changed.
+func (n *Network) pathState(from, to Host) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.blocked != nil && n.blocked(from, to), n.changed
 }
 
-func (n *Network) waitOpen(ctx context.Context, from, to Host) error {
+func (n *Network) waitReachable(ctx context.Context, from, to Host) error {
 	for {
-		blocked, changed := n.state(from, to)
+		blocked, changed := n.pathState(from, to)
 		if !blocked {
 			return nil
 		}
@@ -144,31 +150,31 @@
 	}
 }
 
-// Dialer returns a dialer for a process at place.
+// Dialer returns a dialer for a process on a host.
 func (n *Network) Dialer(from Host) *Dialer {
 	return &Dialer{network: n, from: from}
 }
 
-// Dialer opens streams from one place.
+// Dialer opens streams from one host.
 type Dialer struct {
 	network *Network
 	from    Host
 }
 
-// Dial opens a delayed stream to address, which a listener of the network
-// holds. It fails with trace.ConnectionProblem when nobody listens there.
+// Dial opens a stream to the address of a listener of the network. It fails with
+// trace.ConnectionProblem if nothing listens there.
 func (d *Dialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n := d.network
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(n.ctx, cancel)()
 	n.mu.Lock()
-	to, known := n.places[address]
+	to, known := n.hosts[address]
 	n.mu.Unlock()
 	if !known {
 		return nil, trace.ConnectionProblem(nil, "nothing listens on %s", address)
 	}
-	if err := n.waitOpen(ctx, d.from, to); err != nil {
+	if err := n.waitReachable(ctx, d.from, to); err != nil {
 		return nil, err
 	}
 	if !roseclock.Sleep(ctx, 2*n.config.Delay(d.from, to)) {
@@ -178,9 +184,10 @@
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "dial %s", address)
 	}
-	return n.join(d.from, to, inner), nil
+	return n.newStream(d.from, to, inner), nil
 }
 
+// dialInner opens the connection, without delay, that carries a stream.
 func (n *Network) dialInner(ctx context.Context, address string) (net.Conn, error) {
 	if !n.config.InMemory {
 		var dialer net.Dialer
