--- a/internal/rosestack/bench_test.go
+++ b/internal/rosestack/bench_test.go
@@ -18,8 +18,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// fastDeployment has no delays and ample connections, so that the proxy itself
-// is what is measured.
+// fastDeployment has no simulated delays and ample connections, so that
+// benchmarks measure the proxy alone.
 func fastDeployment(c *qt.C) rosestack.Deployment {
 	d, err := rosestack.FindDeployment("costa-rica")
 	c.Assert(err, qt.IsNil)
@@ -33,19 +33,19 @@
 
 const benchRead = "SELECT id, version FROM licences WHERE id = 7 /*class='lookup'*/"
 
-// BenchmarkStatements reports the look-ups a second that one proxy serves to
-// 64 callers, with callers and targets in the same process.
+// BenchmarkStatements reports the lookups per second that one proxy serves to
+// 64 callers. Callers and targets share the process.
 func BenchmarkStatements(b *testing.B) {
 	c := qt.New(b)
 	stack, err := rosestack.Start(context.Background(), rosestack.Config{Deployment: fastDeployment(c)})
 	c.Assert(err, qt.IsNil)
 	defer stack.Close()
 	time.Sleep(time.Second)
-	lookUp(b, c, stack)
+	runLookups(b, c, stack)
 }
 
-// lookUp lets 64 callers of the first proxy look up as fast as they can.
-func lookUp(b *testing.B, c *qt.C, stack *rosestack.Stack) {
+// runLookups runs lookups from 64 callers of the first proxy, back to back.
+func runLookups(b *testing.B, c *qt.C, stack *rosestack.Stack) {
 	b.SetParallelism(64 / runtime.GOMAXPROCS(0))
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
@@ -61,8 +61,9 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "statements/s")
 }
 
-// BenchmarkSkewedDemand reports the look-ups a second of 64 callers that all
-// reached one of six proxies, with loans and with an even split.
+// BenchmarkSkewedDemand reports the lookups per second of 64 callers that are
+// all connected to one of six proxies, with connection loans between proxies
+// and with an even split.
 func BenchmarkSkewedDemand(b *testing.B) {
 	for name, baseline := range map[string]rosedaemon.Baseline{"loans": {}, "even": {EvenSplit: true}} {
 		b.Run(name, func(b *testing.B) {
@@ -73,13 +74,13 @@
 			c.Assert(err, qt.IsNil)
 			defer stack.Close()
 			time.Sleep(time.Second)
-			lookUp(b, c, stack)
+			runLookups(b, c, stack)
 		})
 	}
 }
 
-// BenchmarkAddedLatency reports the p50 of a look-up sent to a replica
-// directly and through a proxy, in turns.
+// BenchmarkAddedLatency reports the p50 latency of lookups that alternate
+// between a direct connection to a replica and a proxy.
 func BenchmarkAddedLatency(b *testing.B) {
 	c := qt.New(b)
 	stack, err := rosestack.Start(context.Background(), rosestack.Config{Deployment: fastDeployment(c)})
@@ -87,35 +88,35 @@
 	defer stack.Close()
 	time.Sleep(time.Second)
 	ctx := context.Background()
-	through := connect(c, stack, 0, nil)
-	defer through.Close(ctx)
+	proxied := connect(c, stack, 0, nil)
+	defer proxied.Close(ctx)
 	replica := stack.Clusters["licencias1"].Target(rosemary.TargetID("licencias1-2"))
 	dialer := stack.Network.Dialer(rosenet.Host{Name: "direct", Zone: rosestack.CallerZone})
 	direct, err := rosestack.Connect(ctx, dialer, replica.Address(), rosestack.CallerConfig{Tenant: "direct", Database: "licencias1"})
 	c.Assert(err, qt.IsNil)
 	defer direct.Close(ctx)
-	var directTimes, throughTimes []time.Duration
+	var directTimes, proxiedTimes []time.Duration
 	for b.Loop() {
-		directTimes = append(directTimes, timed(c, direct))
-		throughTimes = append(throughTimes, timed(c, through))
+		directTimes = append(directTimes, timeLookup(c, direct))
+		proxiedTimes = append(proxiedTimes, timeLookup(c, proxied))
 	}
 	slices.Sort(directTimes)
-	slices.Sort(throughTimes)
+	slices.Sort(proxiedTimes)
 	p50 := func(times []time.Duration) float64 { return float64(times[len(times)/2].Nanoseconds()) / 1e6 }
 	b.ReportMetric(p50(directTimes), "direct-ms")
-	b.ReportMetric(p50(throughTimes), "proxied-ms")
-	b.ReportMetric(p50(throughTimes)-p50(directTimes), "added-ms")
+	b.ReportMetric(p50(proxiedTimes), "proxied-ms")
+	b.ReportMetric(p50(proxiedTimes)-p50(directTimes), "added-ms")
 }
 
-func timed(c *qt.C, conn *pgconn.PgConn) time.Duration {
+func timeLookup(c *qt.C, conn *pgconn.PgConn) time.Duration {
 	started := time.Now()
 	_, err := rosestack.Query(context.Background(), conn, benchRead)
 	c.Assert(err, qt.IsNil)
 	return time.Since(started)
 }
 
-// BenchmarkIdleCallers reports the memory of one idle caller at the proxy,
-// with a client that keeps nothing but its socket.
+// BenchmarkIdleCallers reports the proxy's memory per idle caller. The client
+// keeps only its socket, as it shares the process.
 func BenchmarkIdleCallers(b *testing.B) {
 	c := qt.New(b)
 	stack, err := rosestack.Start(context.Background(), rosestack.Config{Deployment: fastDeployment(c)})
@@ -123,20 +124,21 @@
 	defer stack.Close()
 	const callers = 2000
 	for b.Loop() {
-		before := heap()
+		before := memoryInUse()
 		var conns []net.Conn
 		for range callers {
-			conns = append(conns, bareCaller(c, stack.Proxies[0].Address))
+			conns = append(conns, connectRaw(c, stack.Proxies[0].Address))
 		}
-		b.ReportMetric(float64(heap()-before)/callers/1024, "KB/caller")
+		b.ReportMetric(float64(memoryInUse()-before)/callers/1024, "KB/caller")
 		for _, conn := range conns {
 			conn.Close()
 		}
 	}
 }
 
-// bareCaller completes a handshake and reads nothing more.
-func bareCaller(c *qt.C, address string) net.Conn {
+// connectRaw completes the handshake without a driver, and reads nothing after
+// it.
+func connectRaw(c *qt.C, address string) net.Conn {
 	conn, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
 	startup, err := (&pgproto3.StartupMessage{
@@ -151,8 +153,8 @@
 	return conn
 }
 
-// heap returns the memory in use for heap and stacks.
-func heap() uint64 {
+// memoryInUse returns the memory in use by the heap and goroutine stacks.
+func memoryInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/rosestack/bundles.go
+++ b/internal/rosestack/bundles.go
@@ -13,7 +13,7 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestore"
 )
 
-// operatorNames are the operators of a stack; each change needs both.
+// operatorNames are the operators of a stack. A change needs both signatures.
 var operatorNames = []string{"ana", "luis"}
 
 // OperatorKey returns the private key of one of a stack's operators.
@@ -34,22 +34,22 @@
 	return list
 }
 
-// operatorStore returns a client of the platform's store for an operator.
-func (s *Stack) operatorStore() *rosestore.Client {
-	place := rosenet.Host{Name: "operator", Zone: CallerZone}
-	return rosestore.NewClient(rosestore.Config{Address: s.platformAt, Dialer: s.Network.Dialer(place)})
+// newOperatorStore returns a client of the platform's store for an operator.
+func (s *Stack) newOperatorStore() *rosestore.Client {
+	host := rosenet.Host{Name: "operator", Zone: CallerZone}
+	return rosestore.NewClient(rosestore.Config{Address: s.platformAddress, Dialer: s.Network.Dialer(host)})
 }
 
-// proposeFirst makes the first bundle.
-func (s *Stack) proposeFirst(ctx context.Context) error {
+// proposeInitial signs and proposes the first bundle.
+func (s *Stack) proposeInitial(ctx context.Context) error {
 	list := s.operators()
 	s.BundleContent.Operators, s.BundleContent.Signatures = list.Operators, list.Signatures
-	store := s.operatorStore()
+	store := s.newOperatorStore()
 	defer store.Close()
 	return rosebundle.Propose(ctx, store, sign(rosebundle.Build(s.BundleContent, rosebundle.Manifest{})))
 }
 
-// sign signs a manifest by every operator.
+// sign adds every operator's signature to the manifest.
 func sign(m rosebundle.Manifest, parts rosebundle.Parts) rosebundle.Proposal {
 	for _, name := range operatorNames {
 		m = m.WithSignature(name, OperatorKey(name))
@@ -57,16 +57,16 @@
 	return rosebundle.Proposal{Manifest: m, Parts: parts}
 }
 
-// ProposeBundle makes a changed bundle the one in force and returns its version.
-// Errors are those of rosebundle.Propose.
+// ProposeBundle applies change to the current bundle, proposes the result and
+// returns its version. Errors of rosebundle.Propose are returned as they are.
 func (s *Stack) ProposeBundle(ctx context.Context, change func(*rosebundle.Content)) (uint64, error) {
-	store := s.operatorStore()
+	store := s.newOperatorStore()
 	defer store.Close()
-	text, err := rosebundle.ReadCurrent(ctx, store)
+	encoded, err := rosebundle.ReadCurrent(ctx, store)
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	current, err := rosebundle.DecodeManifest(text)
+	current, err := rosebundle.DecodeManifest(encoded)
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
@@ -79,5 +79,5 @@
 	return p.Manifest.Version, rosebundle.Propose(ctx, store, p)
 }
 
-// BundleVersion returns the version in force at a proxy.
+// BundleVersion returns the version of the bundle in force at the proxy.
 func (p *Proxy) BundleVersion() uint64 { return p.Daemon.BundleVersion() }
--- a/internal/rosestack/caller.go
+++ b/internal/rosestack/caller.go
@@ -13,10 +13,9 @@
 	"github.com/rosemarywell/rosemarywell/internal/rosenet"
 )
 
-// callerConnectTimeout bounds the opening of a caller's connection.
 const callerConnectTimeout = 5 * time.Second
 
-// CallerConfig tells who connects, and with what settings.
+// CallerConfig configures a caller's connection.
 type CallerConfig struct {
 	Tenant   string
 	Database string
@@ -24,8 +23,8 @@
 	Settings map[string]string
 }
 
-// Connect opens a caller's connection to address with a driver's low-level
-// client. The error is that of the driver.
+// Connect opens a caller's connection to address with pgconn. Errors of the
+// driver are returned as they are.
 func Connect(ctx context.Context, dialer *rosenet.Dialer, address string, caller CallerConfig) (*pgconn.PgConn, error) {
 	config, err := pgconn.ParseConfig("sslmode=disable")
 	if err != nil {
@@ -43,20 +42,20 @@
 	return pgconn.ConnectConfig(ctx, config)
 }
 
-// driverClosed is the driver's message for a connection that is closed. It
-// calls a retry safe then, also when the connection ended after the query had
-// been sent.
-const driverClosed = "conn closed"
+// driverClosedMessage is the text of pgconn's error for a closed connection.
+// pgconn reports this error as safe to retry even if the connection closed
+// after the query was sent.
+const driverClosedMessage = "conn closed"
 
-// errAnswerLost is the error of a query that may have run.
-var errAnswerLost = errors.New("the connection ended before the answer came")
+// errAnswerLost is returned for a query that may have run.
+var errAnswerLost = errors.New("connection closed before the response was received")
 
-// Query runs one statement by the simple protocol and returns the rows of its
+// Query runs query with the simple query protocol and returns the rows of the
 // last result. The error is that of the driver, or errAnswerLost.
 func Query(ctx context.Context, conn *pgconn.PgConn, query string) ([][]string, error) {
 	closed := conn.IsClosed()
 	results, err := conn.Exec(ctx, query).ReadAll()
-	if err != nil && !closed && err.Error() == driverClosed {
+	if err != nil && !closed && err.Error() == driverClosedMessage {
 		return nil, errAnswerLost
 	}
 	if err != nil || len(results) == 0 {
@@ -73,7 +72,8 @@
 	return rows, nil
 }
 
-// FirstInteger returns the first field of the first row as a number, or -1.
+// FirstInteger returns the first field of the first row, or -1 if there is no
+// such field or it is not an integer.
 func FirstInteger(rows [][]string) int {
 	if len(rows) == 0 || len(rows[0]) == 0 {
 		return -1
--- a/internal/rosestack/deployment.go
+++ b/internal/rosestack/deployment.go
@@ -1,6 +1,6 @@
-// Package rosestack runs a whole deployment within one process: stand-in
-// targets and proxies on a stand-in network. It serves the demo, the load
-// tool and the tests.
+// Package rosestack runs a whole deployment in one process: proxies, simulated
+// targets and a simulated platform, on a simulated network. The demo, the load
+// generator and tests use it.
 package rosestack
 
 import (
@@ -13,7 +13,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-// Deployment holds the sizes of one customer's deployment.
+// Deployment describes one customer's deployment: its size, latencies, tables,
+// tenants and classes.
 type Deployment struct {
 	Name           string
 	Databases      []string
@@ -21,26 +22,27 @@
 	Proxies        int
 	Slots          int
 	MaxConnections int
-	// ZoneDelay and CallerDelay are one-way.
+	// ZoneDelay and CallerDelay are one-way network delays.
 	ZoneDelay   time.Duration
 	CallerDelay time.Duration
 	ConnectTime time.Duration
 	ReadTime    time.Duration
 	WriteTime   time.Duration
 	ScanTime    time.Duration
-	// Schema makes the tables of each database.
+	// Schema creates the tables of each database.
 	Schema []string
-	// Seed fills them.
+	// Seed inserts the initial rows.
 	Seed    []string
 	Tenants []rosebundle.Tenant
 	Classes []rosebundle.Class
 }
 
-// CallerZone is where callers are.
+// CallerZone is the zone of all callers and operators, outside the zones of
+// the proxies.
 const CallerZone = "callers"
 
-// FindDeployment returns the deployment of that name. The error is a
-// trace.NotFound.
+// FindDeployment returns the deployment of the given name. For an unknown name
+// it returns a trace.NotFound error.
 func FindDeployment(name string) (Deployment, error) {
 	switch name {
 	case "costa-rica":
@@ -48,7 +50,7 @@
 	case "guatemala":
 		return guatemala(), nil
 	}
-	return Deployment{}, trace.NotFound("no deployment %q; use costa-rica or guatemala", name)
+	return Deployment{}, trace.NotFound("unknown deployment %q; use costa-rica or guatemala", name)
 }
 
 func costaRica() Deployment {
@@ -78,10 +80,10 @@
 			{Name: "dispatch", Weight: 1, Databases: []string{"*"}, Trust: true},
 		},
 		Classes: []rosebundle.Class{
-			{Name: "lookup", ReadOnly: true, MaxAge: span(2 * time.Second), Idempotent: true, Deadline: span(2 * time.Second), Weight: 4},
-			{Name: "dispatch-status", ReadOnly: true, MaxAge: span(10 * time.Second), Idempotent: true, Deadline: span(4 * time.Second), Weight: 1},
-			{Name: "renewal", Idempotent: true, Deadline: span(5 * time.Second), Weight: 2},
-			{Name: "suspension", Deadline: span(5 * time.Second), Weight: 4},
+			{Name: "lookup", ReadOnly: true, MaxAge: bundleDuration(2 * time.Second), Idempotent: true, Deadline: bundleDuration(2 * time.Second), Weight: 4},
+			{Name: "dispatch-status", ReadOnly: true, MaxAge: bundleDuration(10 * time.Second), Idempotent: true, Deadline: bundleDuration(4 * time.Second), Weight: 1},
+			{Name: "renewal", Idempotent: true, Deadline: bundleDuration(5 * time.Second), Weight: 2},
+			{Name: "suspension", Deadline: bundleDuration(5 * time.Second), Weight: 4},
 		},
 	}
 }
@@ -117,17 +119,17 @@
 			{Name: "organizers", Weight: 1, Databases: []string{"*"}, Trust: true},
 		},
 		Classes: []rosebundle.Class{
-			{Name: "entry-list", ReadOnly: true, MaxAge: span(10 * time.Second), Idempotent: true, Deadline: span(4 * time.Second), Weight: 1},
-			{Name: "status", ReadOnly: true, MaxAge: span(3 * time.Second), Idempotent: true, Deadline: span(2 * time.Second), Weight: 3},
-			{Name: "sign-up", Idempotent: true, Deadline: span(5 * time.Second), Weight: 3},
-			{Name: "payment", Deadline: span(5 * time.Second), Weight: 4},
+			{Name: "entry-list", ReadOnly: true, MaxAge: bundleDuration(10 * time.Second), Idempotent: true, Deadline: bundleDuration(4 * time.Second), Weight: 1},
+			{Name: "status", ReadOnly: true, MaxAge: bundleDuration(3 * time.Second), Idempotent: true, Deadline: bundleDuration(2 * time.Second), Weight: 3},
+			{Name: "sign-up", Idempotent: true, Deadline: bundleDuration(5 * time.Second), Weight: 3},
+			{Name: "payment", Deadline: bundleDuration(5 * time.Second), Weight: 4},
 		},
 	}
 }
 
-func span(d time.Duration) rosebundle.Duration { return rosebundle.Duration(d) }
+func bundleDuration(d time.Duration) rosebundle.Duration { return rosebundle.Duration(d) }
 
-// SeedRowCount is the number of rows that the seeded tables begin with.
+// SeedRowCount is the number of initial rows of each seeded table.
 const SeedRowCount = 100
 
 func seedRows(table, columns string, values func(int) string) []string {
@@ -141,7 +143,7 @@
 	return []string{statement}
 }
 
-// delay returns the one-way delay between two places of the deployment.
+// delay returns the one-way network delay between two hosts.
 func (d Deployment) delay(from, to rosenet.Host) time.Duration {
 	switch {
 	case from.Zone == CallerZone || to.Zone == CallerZone:
--- a/internal/rosestack/files.go
+++ b/internal/rosestack/files.go
@@ -13,14 +13,14 @@
 	"github.com/rosemarywell/rosemarywell/internal/rosesettings"
 )
 
-// demonstrationKey signs the session tokens of a stack's proxies.
-const demonstrationKey = "demonstration key, not a secret"
+// demoTokenKey signs the session tokens of a stack's proxies.
+const demoTokenKey = "demonstration key, not a secret"
 
-// PlatformAddress returns where the stand-in platform listens.
-func (s *Stack) PlatformAddress() string { return s.platformAt }
+// PlatformAddress returns the address of the simulated platform.
+func (s *Stack) PlatformAddress() string { return s.platformAddress }
 
-// WriteSettings writes a settings file for each proxy of the deployment, to be
-// run as processes of their own, and the operators' keys.
+// WriteSettings writes the operators' private keys and a settings file for each
+// proxy of the deployment, so that proxies can run as separate processes.
 func (s *Stack) WriteSettings(directory string) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return trace.ConvertSystemError(err)
@@ -31,32 +31,33 @@
 			return trace.ConvertSystemError(err)
 		}
 	}
-	first, err := net.ResolveTCPAddr("tcp", s.Config.Listen)
+	base, err := net.ResolveTCPAddr("tcp", s.Config.Listen)
 	if err != nil {
-		return trace.BadParameter("%q is no host:port", s.Config.Listen)
+		return trace.BadParameter("listen address %q is not host:port", s.Config.Listen)
 	}
 	d := s.Config.Deployment
 	for i := range d.Proxies {
-		if err := s.writeSettings(directory, i, first); err != nil {
+		if err := s.writeProxySettings(directory, i, base); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// portStep separates the ports for callers, peers and operators.
+// portStep is the distance between a proxy's ports for callers, peers and
+// operators.
 const portStep = 100
 
-func (s *Stack) writeSettings(directory string, i int, first *net.TCPAddr) error {
+func (s *Stack) writeProxySettings(directory string, i int, base *net.TCPAddr) error {
 	d := s.Config.Deployment
-	address := func(step, i int) string { return fmt.Sprintf("%s:%d", first.IP, first.Port+step*portStep+i) }
+	address := func(step, i int) string { return fmt.Sprintf("%s:%d", base.IP, base.Port+step*portStep+i) }
 	settings := rosesettings.Default()
 	settings.Name = fmt.Sprintf("proxy-%d", i+1)
 	settings.Zone = d.Zones[i%len(d.Zones)]
 	settings.Proxies = d.Proxies
 	settings.Listen = rosesettings.Listen{Callers: address(0, i), Peers: address(1, i), Admin: address(2, i)}
-	settings.Store.Address = s.platformAt
-	settings.TokenKeys = []string{base64.StdEncoding.EncodeToString([]byte(demonstrationKey))}
+	settings.Store.Address = s.platformAddress
+	settings.TokenKeys = []string{base64.StdEncoding.EncodeToString([]byte(demoTokenKey))}
 	list := s.operators()
 	settings.Operators, settings.Signatures = list.Operators, list.Signatures
 	for j := range d.Proxies {
--- a/internal/rosestack/protocol_test.go
+++ b/internal/rosestack/protocol_test.go
@@ -14,16 +14,16 @@
 	"github.com/rosemarywell/rosemarywell/internal/rosestack"
 )
 
-// refusal runs a statement that must fail and returns the driver's error.
-func refusal(c *qt.C, conn *pgconn.PgConn, text string) *pgconn.PgError {
+// queryError runs a statement that must fail and returns the server's error.
+func queryError(c *qt.C, conn *pgconn.PgConn, text string) *pgconn.PgError {
 	_, err := rosestack.Query(context.Background(), conn, text)
-	var refused *pgconn.PgError
-	c.Assert(errors.As(err, &refused), qt.IsTrue, qt.Commentf("%s: %v", text, err))
-	return refused
+	var pgErr *pgconn.PgError
+	c.Assert(errors.As(err, &pgErr), qt.IsTrue, qt.Commentf("%s: %v", text, err))
+	return pgErr
 }
 
-func TestRefusalsNameStateOutcomeAndRemedy(t *testing.T) {
-	onStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
+func TestErrorsHaveCodeOutcomeAndHint(t *testing.T) {
+	withStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
 		conn := connect(c, stack, 0, nil)
 		defer conn.Close(context.Background())
 		for _, test := range []struct{ statement, state, detail string }{
@@ -37,17 +37,17 @@
 			{"SELECT 1 /*class='unheard'*/", "22023", "not run"},
 			{"SELECT * FROM nowhere", "42P01", ""},
 		} {
-			refused := refusal(c, conn, test.statement)
-			c.Check(refused.Code, qt.Equals, test.state, qt.Commentf("%s", test.statement))
-			c.Check(refused.Detail, qt.Equals, test.detail, qt.Commentf("%s", test.statement))
-			c.Check(refused.Hint != "" || test.detail == "", qt.IsTrue, qt.Commentf("%s", test.statement))
+			pgErr := queryError(c, conn, test.statement)
+			c.Check(pgErr.Code, qt.Equals, test.state, qt.Commentf("%s", test.statement))
+			c.Check(pgErr.Detail, qt.Equals, test.detail, qt.Commentf("%s", test.statement))
+			c.Check(pgErr.Hint != "" || test.detail == "", qt.IsTrue, qt.Commentf("%s", test.statement))
 		}
 		c.Check(query(c, conn, "SELECT count(*) FROM licences"), qt.DeepEquals, [][]string{{"100"}})
 	})
 }
 
-func TestPreparedStatementsFollowTheSession(t *testing.T) {
-	onStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
+func TestPreparedStatementsOnPrimaryAndReplicas(t *testing.T) {
+	withStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
 		ctx := context.Background()
 		conn := connect(c, stack, 0, nil)
 		defer conn.Close(ctx)
@@ -70,12 +70,12 @@
 	})
 }
 
-func TestDriverInItsDefaultMode(t *testing.T) {
-	onStack(t, "guatemala", func(c *qt.C, stack *rosestack.Stack) {
+func TestDriverDefaultQueryMode(t *testing.T) {
+	withStack(t, "guatemala", func(c *qt.C, stack *rosestack.Stack) {
 		ctx := context.Background()
 		config, err := pgx.ParseConfig("sslmode=disable")
 		c.Assert(err, qt.IsNil)
-		config.DialFunc = stackDial(stack, 1)
+		config.DialFunc = dialProxy(stack, 1)
 		config.LookupFunc = func(context.Context, string) ([]string, error) { return []string{"proxy"}, nil }
 		config.Host, config.User, config.Database = "proxy", "runners", "carreras1"
 		conn, err := pgx.ConnectConfig(ctx, config)
@@ -95,30 +95,30 @@
 }
 
 func TestCancelReachesOnlyItsOwnStatement(t *testing.T) {
-	onStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
+	withStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
 		ctx := context.Background()
-		victim, other := connect(c, stack, 0, nil), connect(c, stack, 0, nil)
-		defer victim.Close(ctx)
+		canceled, other := connect(c, stack, 0, nil), connect(c, stack, 0, nil)
+		defer canceled.Close(ctx)
 		defer other.Close(ctx)
 		slept := make(chan error, 1)
 		go func() {
 			_, err := rosestack.Query(ctx, other, "SELECT pg_sleep(3)")
 			slept <- err
 		}()
-		time.AfterFunc(500*time.Millisecond, func() { c.Check(victim.CancelRequest(ctx), qt.IsNil) })
+		time.AfterFunc(500*time.Millisecond, func() { c.Check(canceled.CancelRequest(ctx), qt.IsNil) })
 		started := time.Now()
-		refused := refusal(c, victim, "SELECT pg_sleep(5)")
-		c.Check(refused.Code, qt.Equals, "57014")
+		pgErr := queryError(c, canceled, "SELECT pg_sleep(5)")
+		c.Check(pgErr.Code, qt.Equals, "57014")
 		c.Check(time.Since(started) < time.Second, qt.IsTrue)
 		c.Check(<-slept, qt.IsNil)
-		c.Check(victim.CancelRequest(ctx), qt.IsNil)
-		c.Check(query(c, victim, "SELECT 1"), qt.DeepEquals, [][]string{{"1"}})
+		c.Check(canceled.CancelRequest(ctx), qt.IsNil)
+		c.Check(query(c, canceled, "SELECT 1"), qt.DeepEquals, [][]string{{"1"}})
 	})
 }
 
-func TestOutcomeAfterAProxyDied(t *testing.T) {
+func TestOutcomeAfterProxyCrash(t *testing.T) {
 	for _, committed := range []bool{true, false} {
-		onStack(t, "guatemala", func(c *qt.C, stack *rosestack.Stack) {
+		withStack(t, "guatemala", func(c *qt.C, stack *rosestack.Stack) {
 			ctx := context.Background()
 			first := connect(c, stack, 0, nil)
 			query(c, first, "BEGIN /*request_id='pay-1'*/")
@@ -131,17 +131,17 @@
 			defer second.Close(ctx)
 			want := map[bool]string{true: "ran", false: "did not run"}[committed]
 			c.Check(query(c, second, "SELECT rosemary.outcome('pay-1')"), qt.DeepEquals, [][]string{{want}})
-			refused := refusal(c, second, "INSERT INTO payments (id, entry, cents) VALUES ('p2', 'seed-001', 100) /*request_id='pay-1'*/")
-			c.Check(refused.Code, qt.Equals, "23505")
-			c.Check(refused.Message, qt.Matches, ".*outcome: "+want)
+			pgErr := queryError(c, second, "INSERT INTO payments (id, entry, cents) VALUES ('p2', 'seed-001', 100) /*request_id='pay-1'*/")
+			c.Check(pgErr.Code, qt.Equals, "23505")
+			c.Check(pgErr.Message, qt.Matches, ".*outcome: "+want)
 			rows := query(c, second, "SELECT count(*) FROM payments")
 			c.Check(rows[0][0], qt.Equals, map[bool]string{true: "1", false: "0"}[committed])
 		})
 	}
 }
 
-func TestDrainLetsATransactionEnd(t *testing.T) {
-	onStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
+func TestDrainAwaitsOpenTransaction(t *testing.T) {
+	withStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
 		ctx := context.Background()
 		busy, idle := connect(c, stack, 0, nil), connect(c, stack, 0, nil)
 		query(c, busy, "BEGIN")
@@ -149,9 +149,9 @@
 		drained := make(chan error, 1)
 		go func() { drained <- stack.Proxies[0].Drain(ctx) }()
 		time.Sleep(time.Second)
-		refused := refusal(c, idle, "SELECT 1")
-		c.Check(refused.Code, qt.Equals, "57P01")
-		c.Check(refused.Detail, qt.Equals, "not run")
+		pgErr := queryError(c, idle, "SELECT 1")
+		c.Check(pgErr.Code, qt.Equals, "57P01")
+		c.Check(pgErr.Detail, qt.Equals, "not run")
 		query(c, busy, "COMMIT")
 		token := busy.ParameterStatus("rosemary.token")
 		c.Check(<-drained, qt.IsNil)
@@ -161,8 +161,8 @@
 	})
 }
 
-func TestASettingFollowsTheSession(t *testing.T) {
-	onStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
+func TestSessionSettings(t *testing.T) {
+	withStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
 		ctx := context.Background()
 		conn := connect(c, stack, 0, nil)
 		defer conn.Close(ctx)
--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -22,14 +22,14 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestore"
 )
 
-// Config sets up a Stack.
+// Config configures a Stack.
 type Config struct {
 	Deployment Deployment
 	InMemory   bool
-	// WithoutProxies starts the stand-ins alone.
+	// WithoutProxies starts only the simulated targets and platform.
 	WithoutProxies bool
-	// Listen is where the first proxy listens; the others take the ports
-	// after it. Empty takes free ports.
+	// Listen is the address of the first proxy. The others use the ports after
+	// it. If it is empty, proxies use free ports.
 	Listen   string
 	Baseline rosedaemon.Baseline
 }
@@ -41,34 +41,36 @@
 	Clusters      map[string]*rosetarget.Cluster
 	Proxies       []*Proxy
 	BundleContent *rosebundle.Content
-	// Platform is the stand-in key-value service and VM list.
-	Platform     *rosekv.Server
-	platformAt   string
-	platformDone sync.WaitGroup
-	keys         *rosesession.Keys
-	mu           sync.Mutex
+	// Platform simulates the platform's key-value service and VM list.
+	Platform        *rosekv.Server
+	platformAddress string
+	platformTasks   sync.WaitGroup
+	keys            *rosesession.Keys
+	mu              sync.Mutex
 }
 
-// Proxy is one running proxy of the stack.
+// Proxy is one proxy of the stack.
 type Proxy struct {
-	Name     string
-	Zone     string
-	Address  string
-	Daemon   *rosedaemon.Daemon
-	listener net.Listener
-	peers    net.Listener
-	admin    *http.Server
-	// AdminAddress is where operators' requests go.
+	Name         string
+	Zone         string
+	Address      string
+	Daemon       *rosedaemon.Daemon
+	listener     net.Listener
+	peerListener net.Listener
+	adminServer  *http.Server
+	// AdminAddress is the address for operators' requests.
 	AdminAddress string
 	store        *rosestore.Client
 	tasks        sync.WaitGroup
 	down         atomic.Bool
 }
 
-// startTimeout bounds the wait for a stack to serve.
+// startTimeout bounds the creation of the tables and the wait until all proxies
+// are ready.
 const startTimeout = 20 * time.Second
 
-// Start starts targets and proxies, and fills the tables.
+// Start starts the platform, the targets with their initial tables, and the
+// proxies. It returns when all proxies are ready.
 func Start(ctx context.Context, config Config) (*Stack, error) {
 	deployment := config.Deployment
 	s := &Stack{
@@ -76,7 +78,7 @@
 		Network:  rosenet.NewNetwork(rosenet.Config{Delay: deployment.delay, InMemory: config.InMemory}),
 		Clusters: make(map[string]*rosetarget.Cluster),
 	}
-	keys, err := rosesession.NewKeys([]byte(demonstrationKey))
+	keys, err := rosesession.NewKeys([]byte(demoTokenKey))
 	if err != nil {
 		return nil, err
 	}
@@ -87,18 +89,18 @@
 	if err := s.startTargets(); err != nil {
 		return nil, err
 	}
-	s.BundleContent = s.content()
-	if err := s.proposeFirst(ctx); err != nil {
+	s.BundleContent = s.initialContent()
+	if err := s.proposeInitial(ctx); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, name := range deployment.Databases {
-		if err := s.fill(ctx, name); err != nil {
+		if err := s.createTables(ctx, name); err != nil {
 			return nil, err
 		}
 	}
-	for i := range s.proxies() {
+	for i := range s.proxyCount() {
 		if _, err := s.StartProxy(i); err != nil {
 			return nil, err
 		}
@@ -107,52 +109,52 @@
 	return s, s.awaitReady(ctx)
 }
 
-func (s *Stack) proxies() int {
+func (s *Stack) proxyCount() int {
 	if s.Config.WithoutProxies {
 		return 0
 	}
 	return s.Config.Deployment.Proxies
 }
 
-// awaitReady waits until every proxy serves.
+// awaitReady waits until every proxy is ready and connected to all its peers.
 func (s *Stack) awaitReady(ctx context.Context) error {
 	const poll = 10 * time.Millisecond
 	for _, p := range s.Proxies {
 		for !p.Daemon.Ready() || p.Daemon.Peers() < len(s.Proxies)-1 {
 			time.Sleep(poll)
 			if ctx.Err() != nil {
-				return trace.ConnectionProblem(ctx.Err(), "%s did not get ready", p.Name)
+				return trace.ConnectionProblem(ctx.Err(), "proxy %s did not become ready", p.Name)
 			}
 		}
 	}
 	return nil
 }
 
-// platformPlace is where the platform's services are.
-var platformPlace = rosenet.Host{Name: "platform", Zone: "platform"}
+// platformHost runs the platform's services, outside the proxies' zones.
+var platformHost = rosenet.Host{Name: "platform", Zone: "platform"}
 
-// rosterLag is how far the platform's VM list is behind.
-const rosterLag = 2 * time.Second
+// memberListLag is the delay after which the platform's VM list shows a change.
+const memberListLag = 2 * time.Second
 
 func (s *Stack) startPlatform() error {
-	listener, err := s.Network.Listen(platformPlace, "")
+	listener, err := s.Network.Listen(platformHost, "")
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s.Platform = rosekv.NewServer(rosterLag)
-	s.platformAt = listener.Addr().String()
-	s.platformDone.Go(func() { s.Platform.Serve(listener) })
+	s.Platform = rosekv.NewServer(memberListLag)
+	s.platformAddress = listener.Addr().String()
+	s.platformTasks.Go(func() { s.Platform.Serve(listener) })
 	return nil
 }
 
-// listMembers gives the platform the list of VMs that run.
-func (s *Stack) listMembers() {
+// publishMembers updates the platform's VM list to the running proxies.
+func (s *Stack) publishMembers() {
 	var members []rosemary.Member
 	for _, p := range s.RunningProxies() {
 		members = append(members, rosemary.Member{
 			Proxy:   rosemary.ProxyID(p.Name),
 			Zone:    rosemary.Zone(p.Zone),
-			Address: p.peers.Addr().String(),
+			Address: p.peerListener.Addr().String(),
 		})
 	}
 	s.Platform.SetMembers(members)
@@ -185,8 +187,8 @@
 	return nil
 }
 
-// content returns the configuration that the proxies start with.
-func (s *Stack) content() *rosebundle.Content {
+// initialContent returns the content of the first bundle, without operators.
+func (s *Stack) initialContent() *rosebundle.Content {
 	d := s.Config.Deployment
 	content := &rosebundle.Content{Classes: d.Classes, Tenants: d.Tenants}
 	for i, name := range d.Databases {
@@ -204,8 +206,8 @@
 	return content
 }
 
-// fill makes the tables of one database.
-func (s *Stack) fill(ctx context.Context, name string) error {
+// createTables creates the tables of one database and their initial rows.
+func (s *Stack) createTables(ctx context.Context, name string) error {
 	d := s.Config.Deployment
 	id := rosemary.TargetID(name + "-1")
 	target := rosemary.Target{ID: id, Address: s.Clusters[name].Target(id).Address()}
@@ -217,27 +219,28 @@
 	defer conn.Close()
 	for _, statement := range append(append([]string{}, d.Schema...), d.Seed...) {
 		if _, err := conn.Query(ctx, statement); err != nil {
-			return trace.Wrap(err, "fill %s", name)
+			return trace.Wrap(err, "creating tables of database %s", name)
 		}
 	}
 	return nil
 }
 
-// StartProxy starts proxy i, again if it ran before.
+// StartProxy starts or restarts proxy i. A restarted proxy keeps its addresses
+// for callers and peers.
 func (s *Stack) StartProxy(i int) (*Proxy, error) {
 	d := s.Config.Deployment
 	p := &Proxy{Name: fmt.Sprintf("proxy-%d", i+1), Zone: d.Zones[i%len(d.Zones)]}
-	place := rosenet.Host{Name: p.Name, Zone: p.Zone}
-	listener, err := s.Network.Listen(place, s.listenAddress(i))
+	host := rosenet.Host{Name: p.Name, Zone: p.Zone}
+	listener, err := s.Network.Listen(host, s.listenAddress(i))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	p.listener = listener
-	if p.peers, err = s.Network.Listen(place, s.peerAddress(i)); err != nil {
+	if p.peerListener, err = s.Network.Listen(host, s.peerAddress(i)); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	dialer := s.Network.Dialer(place)
-	p.store = rosestore.NewClient(rosestore.Config{Address: s.platformAt, Dialer: dialer})
+	dialer := s.Network.Dialer(host)
+	p.store = rosestore.NewClient(rosestore.Config{Address: s.platformAddress, Dialer: dialer})
 	p.Daemon = rosedaemon.New(rosedaemon.Config{
 		Name:         rosemary.ProxyID(p.Name),
 		Zone:         rosemary.Zone(p.Zone),
@@ -245,7 +248,7 @@
 		Dialer:       dialer,
 		Keys:         s.keys,
 		TargetUser:   "rosemary",
-		PeerAddress:  p.peers.Addr().String(),
+		PeerAddress:  p.peerListener.Addr().String(),
 		Store:        p.store,
 		Operators:    s.operators(),
 		MemberSource: rosestore.NewMemberSource(p.store),
@@ -253,8 +256,8 @@
 	})
 	p.Address = listener.Addr().String()
 	p.tasks.Go(func() { _ = p.Daemon.Serve(listener) })
-	p.tasks.Go(func() { _ = p.Daemon.ServePeers(p.peers) })
-	if err := s.serveAdmin(p, place); err != nil {
+	p.tasks.Go(func() { _ = p.Daemon.ServePeers(p.peerListener) })
+	if err := s.serveAdmin(p, host); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -264,31 +267,31 @@
 		s.Proxies = append(s.Proxies, p)
 	}
 	s.mu.Unlock()
-	s.listMembers()
+	s.publishMembers()
 	return p, nil
 }
 
-func (s *Stack) serveAdmin(p *Proxy, place rosenet.Host) error {
-	listener, err := s.Network.Listen(place, "")
+func (s *Stack) serveAdmin(p *Proxy, host rosenet.Host) error {
+	listener, err := s.Network.Listen(host, "")
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	p.AdminAddress = listener.Addr().String()
-	p.admin = &http.Server{Handler: p.Daemon.Admin()}
-	p.tasks.Go(func() { _ = p.admin.Serve(listener) })
+	p.adminServer = &http.Server{Handler: p.Daemon.Admin()}
+	p.tasks.Go(func() { _ = p.adminServer.Serve(listener) })
 	return nil
 }
 
-// peerAddress returns where proxy i took peers before, as a VM that restarts
-// keeps its address.
+// peerAddress returns the peer address of the previous run of proxy i, if any:
+// a VM keeps its address across restarts.
 func (s *Stack) peerAddress(i int) string {
 	if i < len(s.Proxies) {
-		return s.Proxies[i].peers.Addr().String()
+		return s.Proxies[i].peerListener.Addr().String()
 	}
 	return ""
 }
 
-// RunningProxies lists the proxies that accept callers.
+// RunningProxies returns the proxies that accept callers.
 func (s *Stack) RunningProxies() []*Proxy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -316,19 +319,19 @@
 	return address.String()
 }
 
-// Kill ends the proxy at once, as the death of its VM would.
+// Kill stops the proxy without draining it, as a crash of its VM would.
 func (p *Proxy) Kill() {
 	p.down.Store(true)
 	p.listener.Close()
 	p.stop()
 }
 
-// stop ends what remains of the proxy.
+// stop closes the daemon and the proxy's other servers, and waits for them.
 func (p *Proxy) stop() {
 	p.Daemon.Close()
 	p.store.Close()
-	p.peers.Close()
-	_ = p.admin.Close()
+	p.peerListener.Close()
+	_ = p.adminServer.Close()
 	p.tasks.Wait()
 }
 
@@ -341,7 +344,7 @@
 	return err
 }
 
-// Close ends the stack.
+// Close stops the proxies, the targets, the platform and the network.
 func (s *Stack) Close() {
 	for _, p := range s.Proxies {
 		p.Kill()
@@ -350,11 +353,11 @@
 		c.Close()
 	}
 	s.Platform.Close()
-	s.platformDone.Wait()
+	s.platformTasks.Wait()
 	s.Network.Close()
 }
 
-// CallerDialer returns a dialer for a caller of that name.
+// CallerDialer returns a dialer for a caller of the given name.
 func (s *Stack) CallerDialer(name string) *rosenet.Dialer {
 	return s.Network.Dialer(rosenet.Host{Name: name, Zone: CallerZone})
 }
--- a/internal/rosestack/stack_test.go
+++ b/internal/rosestack/stack_test.go
@@ -15,7 +15,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// startStack starts a deployment in memory, on the test's clock.
+// startStack starts a deployment on an in-memory network. It must be called
+// within a synctest bubble.
 func startStack(c *qt.C, name string) *rosestack.Stack {
 	deployment, err := rosestack.FindDeployment(name)
 	c.Assert(err, qt.IsNil)
@@ -25,8 +26,8 @@
 	return stack
 }
 
-// onStack runs check with a deployment in memory, on the test's clock.
-func onStack(t *testing.T, name string, check func(*qt.C, *rosestack.Stack)) {
+// withStack runs check on an in-memory deployment in a synctest bubble.
+func withStack(t *testing.T, name string, check func(*qt.C, *rosestack.Stack)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		stack := startStack(c, name)
@@ -35,7 +36,7 @@
 	})
 }
 
-// connect opens a caller's connection to proxy i.
+// connect opens a caller's connection to proxy i as the first tenant.
 func connect(c *qt.C, stack *rosestack.Stack, i int, settings map[string]string) *pgconn.PgConn {
 	conn, err := rosestack.Connect(context.Background(), stack.CallerDialer("caller"), stack.Proxies[i].Address, rosestack.CallerConfig{
 		Tenant:   stack.BundleContent.Tenants[0].Name,
@@ -53,15 +54,15 @@
 }
 
 func TestReadYourWritesOnAnotherProxy(t *testing.T) {
-	for _, way := range []string{"token", "name"} {
-		t.Run(way, func(t *testing.T) {
-			onStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
+	for _, resume := range []string{"token", "name"} {
+		t.Run(resume, func(t *testing.T) {
+			withStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
 				cluster := stack.Clusters["licencias1"]
 				cluster.Target("licencias1-2").SetLag(700 * time.Millisecond)
 				first := connect(c, stack, 0, nil)
 				query(c, first, "UPDATE licences SET version = 41 WHERE id = 7")
 				settings := map[string]string{"rosemary.class": "lookup"}
-				if way == "token" {
+				if resume == "token" {
 					settings["rosemary.token"] = first.ParameterStatus("rosemary.token")
 				} else {
 					settings["rosemary.session"] = first.ParameterStatus("rosemary.session")
@@ -79,7 +80,7 @@
 }
 
 func TestWriteWaitsForAQuorum(t *testing.T) {
-	onStack(t, "guatemala", func(c *qt.C, stack *rosestack.Stack) {
+	withStack(t, "guatemala", func(c *qt.C, stack *rosestack.Stack) {
 		cluster := stack.Clusters["carreras1"]
 		for _, id := range []string{"carreras1-2", "carreras1-3"} {
 			cluster.Target(rosemary.TargetID(id)).SetLag(2 * time.Second)
@@ -92,21 +93,22 @@
 	})
 }
 
-// stackDial returns a driver's dial function to proxy i.
-func stackDial(stack *rosestack.Stack, i int) pgconn.DialFunc {
+// dialProxy returns a dial function for the driver that connects to proxy i.
+func dialProxy(stack *rosestack.Stack, i int) pgconn.DialFunc {
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return stack.CallerDialer("driver").Dial(ctx, stack.Proxies[i].Address)
 	}
 }
 
-// An hour of slow answers and lagging replicas must not cost a promotion. The
-// test takes a part of the hour; ROSEMARY_QUIET sets another.
-func TestNoNeedlessPromotion(t *testing.T) {
-	span := 3 * time.Minute
+// Slow watch responses of targets and a lagging replica must not cause a
+// failover within an hour. The test runs for 3 minutes by default;
+// ROSEMARY_QUIET sets another duration.
+func TestNoUnneededFailover(t *testing.T) {
+	duration := 3 * time.Minute
 	if text := os.Getenv("ROSEMARY_QUIET"); text != "" {
 		longer, err := time.ParseDuration(text)
 		qt.New(t).Assert(err, qt.IsNil)
-		span = longer
+		duration = longer
 	}
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -124,7 +126,7 @@
 		targets["licencias1-2"].SetLag(5 * time.Second)
 		conn := connect(c, stack, 0, nil)
 		defer conn.Close(context.Background())
-		for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(2 * time.Second) {
+		for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(2 * time.Second) {
 			query(c, conn, "UPDATE licences SET version = version + 1 WHERE id = 1")
 		}
 		for id, target := range targets {
