--- a/internal/roseload/bundles.go
+++ b/internal/roseload/bundles.go
@@ -10,120 +10,124 @@
 	"github.com/rosemarywell/rosemarywell/pkg/roseclock"
 )
 
-// observeInterval separates looks at the versions in force.
+// observeInterval is the polling interval for the versions in force, and hence
+// the resolution of the rollout times.
 const observeInterval = 5 * time.Millisecond
 
-// bundles records when each accepted version came into force on each proxy.
-type bundles struct {
+// bundleTracker records when each accepted version came into force on each
+// proxy.
+type bundleTracker struct {
 	run *run
 
-	mu       sync.Mutex
-	accepted map[uint64]time.Time
-	inForce  map[uint64]map[string]time.Time
-	highest  map[string]uint64
-	seen     map[*rosestack.Proxy]uint64
-	// reversions counts the proxies that went back to an older version.
+	mu              sync.Mutex
+	acceptedAt      map[uint64]time.Time
+	inForceAt       map[uint64]map[string]time.Time
+	highestVersions map[string]uint64
+	lastVersions    map[*rosestack.Proxy]uint64
+	// reversions counts changes of a proxy, also by a restart, to an older
+	// version.
 	reversions int
 	raced      int
-	// excused proxies are cut off or down while a version spreads; their
-	// time counts from excusedUntil.
-	excused      map[string]bool
-	excusedUntil time.Time
+	// unreachable holds the proxies that were partitioned or down during a
+	// rollout. Their rollout times count from reachableAt.
+	unreachable map[string]bool
+	reachableAt time.Time
 }
 
-func newBundles(r *run) *bundles {
-	return &bundles{
-		run:      r,
-		accepted: make(map[uint64]time.Time),
-		inForce:  make(map[uint64]map[string]time.Time),
-		highest:  make(map[string]uint64),
-		seen:     make(map[*rosestack.Proxy]uint64),
-		excused:  make(map[string]bool),
+func newBundleTracker(r *run) *bundleTracker {
+	return &bundleTracker{
+		run:             r,
+		acceptedAt:      make(map[uint64]time.Time),
+		inForceAt:       make(map[uint64]map[string]time.Time),
+		highestVersions: make(map[string]uint64),
+		lastVersions:    make(map[*rosestack.Proxy]uint64),
+		unreachable:     make(map[string]bool),
 	}
 }
 
-// observe looks at every proxy until ctx ends.
-func (b *bundles) observe(ctx context.Context) {
+// observe polls the versions of the running proxies until ctx ends.
+func (b *bundleTracker) observe(ctx context.Context) {
 	for roseclock.Sleep(ctx, observeInterval) {
 		for _, p := range b.run.stack.RunningProxies() {
-			b.look(p, p.BundleVersion())
+			b.record(p, p.BundleVersion())
 		}
 	}
 }
 
-func (b *bundles) look(p *rosestack.Proxy, version uint64) {
+func (b *bundleTracker) record(p *rosestack.Proxy, version uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	last := b.seen[p]
+	last := b.lastVersions[p]
 	if version == last {
 		return
 	}
-	b.seen[p] = version
-	if version < b.highest[p.Name] {
+	b.lastVersions[p] = version
+	if version < b.highestVersions[p.Name] {
 		b.reversions++
 		return
 	}
-	b.highest[p.Name] = version
+	b.highestVersions[p.Name] = version
 	for v := last + 1; v <= version; v++ {
-		if b.inForce[v] == nil {
-			b.inForce[v] = make(map[string]time.Time)
+		if b.inForceAt[v] == nil {
+			b.inForceAt[v] = make(map[string]time.Time)
 		}
-		if b.inForce[v][p.Name].IsZero() {
-			b.inForce[v][p.Name] = time.Now()
+		if b.inForceAt[v][p.Name].IsZero() {
+			b.inForceAt[v][p.Name] = time.Now()
 		}
 	}
 }
 
-// propose makes a changed bundle and notes when it was accepted.
-func (b *bundles) propose(ctx context.Context, change func(*rosebundle.Content)) error {
+// propose proposes a changed bundle and records when it was accepted.
+func (b *bundleTracker) propose(ctx context.Context, change func(*rosebundle.Content)) error {
 	version, err := b.run.stack.ProposeBundle(ctx, change)
 	if err != nil {
 		return err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.accepted[version] = time.Now()
+	b.acceptedAt[version] = time.Now()
 	return nil
 }
 
-// excuse notes that the proxies of a zone, or one, can't hear of a bundle.
-func (b *bundles) excuse(zone, name string) {
+// markUnreachable records that a bundle can't reach the proxies of a zone, or
+// the proxy of the given name.
+func (b *bundleTracker) markUnreachable(zone, name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.run.stack.Proxies {
 		if p.Zone == zone || p.Name == name {
-			b.excused[p.Name] = true
+			b.unreachable[p.Name] = true
 		}
 	}
 }
 
-// healed notes that the excused proxies can hear again.
-func (b *bundles) healed() {
+// markReachable records that bundles can reach the unreachable proxies again.
+func (b *bundleTracker) markReachable() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.excusedUntil = time.Now()
+	b.reachableAt = time.Now()
 }
 
-// times returns how long each version took to come into force on each proxy,
-// from its acceptance or the heal of what held the proxy off, and the number
-// of proxies that lack a version.
-func (b *bundles) times() ([]time.Duration, int) {
+// rolloutTimes returns how long each version took to come into force on each
+// proxy, from its acceptance or from when the proxy was reachable again, and
+// the number of missing pairs of version and proxy.
+func (b *bundleTracker) rolloutTimes() ([]time.Duration, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var times []time.Duration
 	missing := 0
-	for version, at := range b.accepted {
+	for version, accepted := range b.acceptedAt {
 		for _, p := range b.run.stack.RunningProxies() {
-			from := at
-			if b.excused[p.Name] && b.excusedUntil.After(at) {
-				from = b.excusedUntil
+			start := accepted
+			if b.unreachable[p.Name] && b.reachableAt.After(accepted) {
+				start = b.reachableAt
 			}
-			when := b.inForce[version][p.Name]
-			if when.IsZero() {
+			inForce := b.inForceAt[version][p.Name]
+			if inForce.IsZero() {
 				missing++
 				continue
 			}
-			times = append(times, max(when.Sub(from), 0))
+			times = append(times, max(inForce.Sub(start), 0))
 		}
 	}
 	return times, missing
--- a/internal/roseload/check.go
+++ b/internal/roseload/check.go
@@ -9,7 +9,8 @@
 	"github.com/rosemarywell/rosemarywell/internal/rosetarget"
 )
 
-// findings counts the violations of a history.
+// findings holds the numbers of violations in a history. They are part of the
+// printed report.
 type findings struct {
 	AcknowledgedLost         int
 	ReadYourWritesViolations int
@@ -19,210 +20,211 @@
 	WrongAnswers             int
 	FalseNotRun              int
 	NotLinearizable          int
-	// Examples names the first violations found.
+	// Examples describes the first maxExamples violations.
 	Examples []string
 }
 
-// maxExamples bounds the violations that are described.
 const maxExamples = 10
 
-func (f *findings) note(count *int, format string, args ...any) {
+func (f *findings) add(count *int, format string, args ...any) {
 	*count++
 	if len(f.Examples) < maxExamples {
 		f.Examples = append(f.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// register is the order in which the surviving log set one key.
+// register holds the values of one key in the order of the surviving log.
 type register struct {
-	// place tells the place of each value in values.
-	place  map[int64]int
-	values []int64
-	at     []time.Time
+	// indexes maps each value to its index in values.
+	indexes map[int64]int
+	values  []int64
+	setAt   []time.Time
 }
 
-// truth is what the surviving log of one database says.
-type truth struct {
+// survivingLog holds the effects of the log that survived the run, for one
+// database.
+type survivingLog struct {
 	registers map[string]*register
-	// runs counts the rows that each request left.
-	runs map[string]int
-	// rows tells which request rows are there, as "request:attempt".
-	rows map[string]bool
-	// mixed lists the records that mix transactions.
-	mixed []string
+	// executions counts the rows that each request inserted.
+	executions map[string]int
+	// insertedRows holds the inserted rows as "request:attempt".
+	insertedRows map[string]bool
+	// mixedRecords describes the log records with writes of several
+	// transactions, or with a part of one.
+	mixedRecords []string
 }
 
-// readTruth takes the log of the target that leads the highest term.
-func (r *run) readTruth(database string) *truth {
-	var best *rosetarget.Target
+// readSurvivingLog reads the log of the target with the highest position.
+func (r *run) readSurvivingLog(database string) *survivingLog {
+	var newest *rosetarget.Target
 	for _, t := range r.stack.Clusters[database].Targets() {
-		if best == nil || t.Status().Position.Compare(best.Status().Position) > 0 {
-			best = t
+		if newest == nil || t.Status().Position.Compare(newest.Status().Position) > 0 {
+			newest = t
 		}
 	}
-	tr := &truth{registers: make(map[string]*register), runs: make(map[string]int), rows: make(map[string]bool)}
-	for n, record := range best.Log() {
-		tr.take(r.mix, n, record)
+	sl := &survivingLog{registers: make(map[string]*register), executions: make(map[string]int), insertedRows: make(map[string]bool)}
+	for n, record := range newest.Log() {
+		sl.apply(r.mix, n, record)
 	}
-	return tr
+	return sl
 }
 
-func (tr *truth) take(m mix, n int, record rosetarget.Record) {
-	var sets, marks []string
+func (sl *survivingLog) apply(m mix, n int, record rosetarget.Record) {
+	var sets, markers []string
 	for _, put := range record.Puts {
 		switch put.Table {
 		case m.table:
 			value, _ := strconv.ParseInt(put.Fields[m.versionField], 10, 64)
-			tr.set(put.Fields[0], value, record.At)
+			sl.set(put.Fields[0], value, record.At)
 			sets = append(sets, "tx-"+put.Fields[m.versionField])
-		case m.onceTable:
+		case m.insertTable:
 			id := put.Fields[0]
 			request, _, _ := strings.Cut(id, ":")
-			tr.rows[id] = true
-			tr.runs[request]++
+			sl.insertedRows[id] = true
+			sl.executions[request]++
 			if strings.HasPrefix(id, "tx-") {
-				marks = append(marks, id)
+				markers = append(markers, id)
 			}
 		}
 	}
 	if len(sets) > MaxTransactionRows {
 		return
 	}
-	if len(marks) > 1 || len(sets) > 1 || len(marks) == 1 && (len(sets) != 1 || sets[0] != marks[0]) {
-		tr.mixed = append(tr.mixed, fmt.Sprintf("record %d sets %v and marks %v", n+1, sets, marks))
+	if len(markers) > 1 || len(sets) > 1 || len(markers) == 1 && (len(sets) != 1 || sets[0] != markers[0]) {
+		sl.mixedRecords = append(sl.mixedRecords, fmt.Sprintf("log record %d sets registers of %v and inserts markers of %v", n+1, sets, markers))
 	}
 }
 
-// MaxTransactionRows is the number of rows above which a record is one that filled the
-// tables.
+// MaxTransactionRows bounds the registers that a transaction of the load sets.
+// Log records with more are from the creation of the tables.
 const MaxTransactionRows = 10
 
-func (tr *truth) set(key string, value int64, at time.Time) {
-	reg := tr.registers[key]
+func (sl *survivingLog) set(key string, value int64, at time.Time) {
+	reg := sl.registers[key]
 	if reg == nil {
-		reg = &register{place: make(map[int64]int)}
-		tr.registers[key] = reg
+		reg = &register{indexes: make(map[int64]int)}
+		sl.registers[key] = reg
 	}
-	reg.place[value] = len(reg.values)
+	reg.indexes[value] = len(reg.values)
 	reg.values = append(reg.values, value)
-	reg.at = append(reg.at, at)
+	reg.setAt = append(reg.setAt, at)
 }
 
-// holds reports whether the surviving log set key to value.
-func (tr *truth) holds(key string, value int64) bool {
-	reg := tr.registers[key]
+// contains reports whether the surviving log set key to value.
+func (sl *survivingLog) contains(key string, value int64) bool {
+	reg := sl.registers[key]
 	if reg == nil {
 		return false
 	}
-	_, found := reg.place[value]
+	_, found := reg.indexes[value]
 	return found
 }
 
-// check compares a history with what survived.
+// check compares a history with the surviving logs.
 func (r *run) check(operations []Operation) *findings {
 	f := &findings{}
 	for _, database := range r.config.Deployment.Databases {
-		tr := r.readTruth(database)
-		var own []Operation
+		sl := r.readSurvivingLog(database)
+		var inDatabase []Operation
 		for _, o := range operations {
 			if o.Database == database {
-				own = append(own, o)
+				inDatabase = append(inDatabase, o)
 			}
 		}
-		f.checkDatabase(tr, own)
-		f.checkRegisters(database, own)
+		f.checkDatabase(sl, inDatabase)
+		f.checkRegisters(database, inDatabase)
 	}
 	return f
 }
 
-func (f *findings) checkDatabase(tr *truth, operations []Operation) {
-	for _, m := range tr.mixed {
-		f.note(&f.MixedTransactions, "%s", m)
+func (f *findings) checkDatabase(sl *survivingLog, operations []Operation) {
+	for _, m := range sl.mixedRecords {
+		f.add(&f.MixedTransactions, "%s", m)
 	}
-	for request, runs := range tr.runs {
+	for request, runs := range sl.executions {
 		if runs > 1 {
-			f.note(&f.DoubleRuns, "request %s ran %d times", request, runs)
+			f.add(&f.DoubleRuns, "request %s was executed %d times", request, runs)
 		}
 	}
 	for _, o := range operations {
 		if o.WrongAnswer {
-			f.note(&f.WrongAnswers, "%s %s of %s got another's answer", o.Session, o.Kind, o.Key)
+			f.add(&f.WrongAnswers, "session %s: %s of %s got a response that does not match the request", o.Session, o.Kind, o.Key)
 		}
 		switch o.Kind {
 		case KindInsert:
-			f.checkOnce(tr, o)
+			f.checkInsert(sl, o)
 		case KindWrite, KindSwap:
-			f.checkWrite(tr, o)
+			f.checkWrite(sl, o)
 		case KindRead:
-			f.checkAge(tr, o)
+			f.checkAge(sl, o)
 		}
 	}
-	f.checkSessions(tr, operations)
+	f.checkSessions(sl, operations)
 }
 
-func (f *findings) checkOnce(tr *truth, o Operation) {
+func (f *findings) checkInsert(sl *survivingLog, o Operation) {
 	row := fmt.Sprintf("%s:%d", o.Key, o.Attempt)
 	switch {
-	case o.Outcome == OutcomeAnswered && !tr.rows[row]:
-		f.note(&f.AcknowledgedLost, "request %s was acknowledged and is gone", row)
-	case o.Outcome == OutcomeNotRun && tr.rows[row]:
-		f.note(&f.FalseNotRun, "request %s was told not run: %s", row, o.Error)
-	case o.Outcome == OutcomeDuplicate && tr.rows[row]:
-		f.note(&f.FalseNotRun, "request %s was told it is a duplicate, and ran", row)
-	case o.Outcome == OutcomeDuplicate && strings.Contains(o.Error, "first outcome: ran") && tr.runs[o.Key] == 0:
-		f.note(&f.AcknowledgedLost, "request %s was told it ran before, and is gone", row)
+	case o.Outcome == OutcomeAnswered && !sl.insertedRows[row]:
+		f.add(&f.AcknowledgedLost, "request %s was acknowledged but is not in the log", row)
+	case o.Outcome == OutcomeNotRun && sl.insertedRows[row]:
+		f.add(&f.FalseNotRun, "request %s was reported as not run but is in the log: %s", row, o.Error)
+	case o.Outcome == OutcomeDuplicate && sl.insertedRows[row]:
+		f.add(&f.FalseNotRun, "request %s was reported as a duplicate but is in the log", row)
+	case o.Outcome == OutcomeDuplicate && strings.Contains(o.Error, "first outcome: ran") && sl.executions[o.Key] == 0:
+		f.add(&f.AcknowledgedLost, "request %s was reported to have run before but is not in the log", row)
 	}
 }
 
-func (f *findings) checkWrite(tr *truth, o Operation) {
-	there := tr.holds(o.Key, o.Value)
+func (f *findings) checkWrite(sl *survivingLog, o Operation) {
+	found := sl.contains(o.Key, o.Value)
 	switch {
-	case o.Outcome == OutcomeAnswered && !there:
-		f.note(&f.AcknowledgedLost, "%s=%d was acknowledged and is gone", o.Key, o.Value)
-	case o.Outcome == OutcomeNotRun && there:
-		f.note(&f.FalseNotRun, "%s=%d was told not run: %s", o.Key, o.Value, o.Error)
+	case o.Outcome == OutcomeAnswered && !found:
+		f.add(&f.AcknowledgedLost, "write %s=%d was acknowledged but is not in the log", o.Key, o.Value)
+	case o.Outcome == OutcomeNotRun && found:
+		f.add(&f.FalseNotRun, "write %s=%d was reported as not run but is in the log: %s", o.Key, o.Value, o.Error)
 	}
 }
 
-// checkAge looks for values that had been replaced for longer than the class
-// allows when the read was sent.
-func (f *findings) checkAge(tr *truth, o Operation) {
+// checkAge finds values that had been overwritten for longer than the maximum
+// age of the class when the read was sent.
+func (f *findings) checkAge(sl *survivingLog, o Operation) {
 	for key, value := range o.ReadValues {
-		reg := tr.registers[key]
+		reg := sl.registers[key]
 		if reg == nil {
 			continue
 		}
-		place, found := reg.place[value]
-		if !found || place+1 >= len(reg.values) {
+		index, found := reg.indexes[value]
+		if !found || index+1 >= len(reg.values) {
 			continue
 		}
-		if replaced := reg.at[place+1]; o.Start.Sub(replaced) > o.MaxAge {
-			f.note(&f.StaleBeyondAge, "%s read %s=%d, replaced %s before", o.Session, key, value, o.Start.Sub(replaced))
+		if replaced := reg.setAt[index+1]; o.Start.Sub(replaced) > o.MaxAge {
+			f.add(&f.StaleBeyondAge, "session %s read %s=%d, which was overwritten %s earlier", o.Session, key, value, o.Start.Sub(replaced))
 		}
 	}
 }
 
-// checkSessions looks for reads that miss an earlier write of their session.
-func (f *findings) checkSessions(tr *truth, operations []Operation) {
+// checkSessions finds reads that miss an earlier write of their own session.
+func (f *findings) checkSessions(sl *survivingLog, operations []Operation) {
 	type sessionKey struct{ session, key string }
 	latest := make(map[sessionKey]int)
-	for _, o := range inOrder(operations) {
+	for _, o := range sortedByStart(operations) {
 		for key, value := range o.ReadValues {
-			reg := tr.registers[key]
-			floor, wrote := latest[sessionKey{o.Session, key}]
+			reg := sl.registers[key]
+			minIndex, wrote := latest[sessionKey{o.Session, key}]
 			if reg == nil || !wrote || o.Outcome != OutcomeAnswered {
 				continue
 			}
-			if place, found := reg.place[value]; found && place < floor {
-				f.note(&f.ReadYourWritesViolations, "%s read %s=%d (%d) after its own write at %d", o.Session, key, value, place, floor)
+			if index, found := reg.indexes[value]; found && index < minIndex {
+				f.add(&f.ReadYourWritesViolations, "session %s read %s=%d at index %d after its own write at index %d", o.Session, key, value, index, minIndex)
 			}
 		}
 		if o.Outcome != OutcomeAnswered || o.Kind != KindWrite && o.Kind != KindSwap {
 			continue
 		}
-		if reg := tr.registers[o.Key]; reg != nil {
-			if place, found := reg.place[o.Value]; found {
-				latest[sessionKey{o.Session, o.Key}] = place
+		if reg := sl.registers[o.Key]; reg != nil {
+			if index, found := reg.indexes[o.Value]; found {
+				latest[sessionKey{o.Session, o.Key}] = index
 			}
 		}
 	}
--- a/internal/roseload/classify_test.go
+++ b/internal/roseload/classify_test.go
@@ -12,9 +12,9 @@
 	"github.com/rosemarywell/rosemarywell/internal/rosestack"
 )
 
-// dieBeforeAnswer takes one session and ends its connection once it has read
-// the first query.
-func dieBeforeAnswer(conn net.Conn) {
+// closeAfterQuery serves one connection and closes it once it has received the
+// first query.
+func closeAfterQuery(conn net.Conn) {
 	defer conn.Close()
 	backend := pgproto3.NewBackend(conn, conn)
 	if _, err := backend.ReceiveStartupMessage(); err != nil {
@@ -28,24 +28,24 @@
 	_, _ = backend.Receive()
 }
 
-// A request whose answer never came may have run, though the driver then says
-// that the connection was closed and a retry safe.
-func TestLostAnswerIsUnknown(t *testing.T) {
+// A request may have run if the connection closes before the response, although
+// the driver then reports a closed connection and that a retry is safe.
+func TestLostResponseIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	config, err := pgconn.ParseConfig("host=proxy user=u database=d sslmode=disable")
 	c.Assert(err, qt.IsNil)
 	config.LookupFunc = func(context.Context, string) ([]string, error) { return []string{"proxy"}, nil }
 	config.DialFunc = func(context.Context, string, string) (net.Conn, error) {
-		near, far := net.Pipe()
-		go dieBeforeAnswer(far)
-		return near, nil
+		client, server := net.Pipe()
+		go closeAfterQuery(server)
+		return client, nil
 	}
 	conn, err := pgconn.ConnectConfig(context.Background(), config)
 	c.Assert(err, qt.IsNil)
 	_, err = rosestack.Query(context.Background(), conn, "INSERT")
 	outcome, _ := classify(err)
 	c.Check(outcome, qt.Equals, OutcomeUnknown, qt.Commentf("%v", err))
-	// Nothing is sent on a connection that is closed already.
+	// On a connection that is already closed, the driver sends nothing.
 	_, err = rosestack.Query(context.Background(), conn, "INSERT")
 	outcome, _ = classify(err)
 	c.Check(outcome, qt.Equals, OutcomeNotRun, qt.Commentf("%v", err))
--- a/internal/roseload/fault_bundle.go
+++ b/internal/roseload/fault_bundle.go
@@ -13,54 +13,56 @@
 )
 
 const (
-	// rollouts is the number of bundles that bundle-rollout brings.
-	rollouts = 5
-	// rolloutPause separates them.
+	// rolloutCount is the number of rounds of proposals in bundle-rollout and
+	// bundle-race.
+	rolloutCount = 5
+	// rolloutPause is the time between two rounds.
 	rolloutPause = 200 * time.Millisecond
 )
 
 func init() {
-	addFault(fault{name: "bundle-rollout", strike: strikeRollout})
-	addFault(fault{name: "bundle-race", strike: strikeRace})
-	addFault(fault{name: "target-leaving", strike: strikeLeaving})
-	addFault(fault{name: "target-leaving-sign", strike: strikeLeavingSign})
-	addFault(fault{name: "proxy-restart", strike: strikeRestart})
-	addFault(fault{name: "zone-cut+bundle", strike: strikeCutBundle, heal: healCutBundle, stopsWrites: true})
-	addFault(fault{name: "store-down-at-boot", strike: strikeBoot, heal: healStore})
+	registerFault(fault{name: "bundle-rollout", inject: injectBundleRollout})
+	registerFault(fault{name: "bundle-race", inject: injectBundleRace})
+	registerFault(fault{name: "target-leaving", inject: injectTargetLeaving})
+	registerFault(fault{name: "target-leaving-sign", inject: injectLeavingStatus})
+	registerFault(fault{name: "proxy-restart", inject: injectProxyRestart})
+	registerFault(fault{name: "zone-cut+bundle", inject: injectBundleInPartition, heal: healBundleInPartition, stopsWrites: true})
+	registerFault(fault{name: "store-down-at-boot", inject: injectStoreDownAtBoot, heal: healStore})
 }
 
-// raiseWeight is a small change of a bundle.
+// raiseWeight makes a minimal change to a bundle.
 func raiseWeight(content *rosebundle.Content) { content.Classes[0].Weight++ }
 
-func (f *faults) propose(ctx context.Context, change func(*rosebundle.Content)) {
+func (f *injector) proposeBundle(ctx context.Context, change func(*rosebundle.Content)) {
 	if err := f.run.bundles.propose(ctx, change); err != nil {
 		klog.InfoS("bundle not accepted", "err", err)
 	}
 }
 
-func strikeRollout(ctx context.Context, f *faults) {
-	for range rollouts {
-		f.propose(ctx, raiseWeight)
+func injectBundleRollout(ctx context.Context, f *injector) {
+	for range rolloutCount {
+		f.proposeBundle(ctx, raiseWeight)
 		roseclock.Sleep(ctx, rolloutPause)
 	}
 }
 
-// strikeRace lets two operators propose at once, five times.
-func strikeRace(ctx context.Context, f *faults) {
-	for range rollouts {
+// injectBundleRace makes two operators propose concurrently, rolloutCount times.
+func injectBundleRace(ctx context.Context, f *injector) {
+	for range rolloutCount {
 		var operators sync.WaitGroup
 		for range 2 {
-			operators.Go(func() { f.propose(ctx, raiseWeight) })
+			operators.Go(func() { f.proposeBundle(ctx, raiseWeight) })
 		}
 		operators.Wait()
 		roseclock.Sleep(ctx, rolloutPause)
 	}
 }
 
-// strikeLeaving takes a replica of the first database out of service.
-func strikeLeaving(ctx context.Context, f *faults) {
+// injectTargetLeaving marks a replica of the first database as leaving in the
+// bundle.
+func injectTargetLeaving(ctx context.Context, f *injector) {
 	id := string(f.replicas()[0].Status().Target)
-	f.propose(ctx, func(content *rosebundle.Content) {
+	f.proposeBundle(ctx, func(content *rosebundle.Content) {
 		for i := range content.Databases {
 			for j, t := range content.Databases[i].Targets {
 				if t.ID == id {
@@ -69,55 +71,58 @@
 			}
 		}
 	})
-	f.run.leaving(id)
+	f.run.markLeaving(id)
 }
 
-// strikeLeavingSign lets a replica itself ask for no new work.
-func strikeLeavingSign(_ context.Context, f *faults) {
+// injectLeavingStatus makes a replica report in its status that it is leaving.
+func injectLeavingStatus(_ context.Context, f *injector) {
 	replica := f.replicas()[0]
 	replica.SetLeaving(true)
-	f.run.leaving(string(replica.Status().Target))
+	f.run.markLeaving(string(replica.Status().Target))
 }
 
-// strikeRestart replaces proxies, whose VMs keep nothing, while bundles come.
-func strikeRestart(ctx context.Context, f *faults) {
+// injectProxyRestart replaces half of the proxies, one at a time, and proposes a
+// bundle while each is down. A replaced proxy has no bundle on its new VM.
+func injectProxyRestart(ctx context.Context, f *injector) {
 	for i := range len(f.run.stack.Proxies) / 2 {
-		f.run.bundles.excuse("", f.run.stack.Proxies[i].Name)
+		f.run.bundles.markUnreachable("", f.run.stack.Proxies[i].Name)
 		f.run.stack.Proxies[i].Kill()
-		f.propose(ctx, raiseWeight)
-		roseclock.Sleep(ctx, restartAfter)
-		f.restart(i)
-		f.run.bundles.healed()
+		f.proposeBundle(ctx, raiseWeight)
+		roseclock.Sleep(ctx, restartDelay)
+		f.restartProxy(i)
+		f.run.bundles.markReachable()
 	}
 }
 
-// strikeCutBundle splits a zone off and accepts a bundle meanwhile.
-func strikeCutBundle(ctx context.Context, f *faults) {
+// injectBundleInPartition partitions the primary's zone from the others and
+// proposes a bundle meanwhile.
+func injectBundleInPartition(ctx context.Context, f *injector) {
 	zone := f.zoneOf(f.primary())
-	f.run.bundles.excuse(zone, "")
-	f.run.stack.Network.SetBlocked(cutZone(zone))
-	f.propose(ctx, raiseWeight)
+	f.run.bundles.markUnreachable(zone, "")
+	f.run.stack.Network.SetBlocked(zonePartition(zone))
+	f.proposeBundle(ctx, raiseWeight)
 }
 
-func healCutBundle(f *faults) {
+func healBundleInPartition(f *injector) {
 	healNetwork(f)
-	f.run.bundles.healed()
+	f.run.bundles.markReachable()
 }
 
-// strikeBoot takes the store down and then replaces a proxy: it has to get
-// the bundle from its peers.
-func strikeBoot(ctx context.Context, f *faults) {
-	f.propose(ctx, raiseWeight)
+// injectStoreDownAtBoot takes the store down and then replaces a proxy, which
+// has to fetch the bundle from its peers.
+func injectStoreDownAtBoot(ctx context.Context, f *injector) {
+	f.proposeBundle(ctx, raiseWeight)
 	roseclock.Sleep(ctx, time.Second)
 	f.run.stack.Platform.SetDown(true)
 	f.run.stack.Proxies[0].Kill()
-	roseclock.Sleep(ctx, restartAfter)
-	f.restart(0)
+	roseclock.Sleep(ctx, restartDelay)
+	f.restartProxy(0)
 	f.run.bundles.awaitServing(ctx, f.run.stack.Proxies[0])
 }
 
-// awaitServing notes how long a new proxy took to have a bundle in force.
-func (b *bundles) awaitServing(ctx context.Context, p *rosestack.Proxy) {
+// awaitServing waits until a new proxy has a bundle in force, and logs how long
+// that took.
+func (b *bundleTracker) awaitServing(ctx context.Context, p *rosestack.Proxy) {
 	started := time.Now()
 	for p.BundleVersion() == 0 && roseclock.Sleep(ctx, observeInterval) {
 		continue
--- a/internal/roseload/fault_overload.go
+++ b/internal/roseload/fault_overload.go
@@ -2,28 +2,28 @@
 
 import "context"
 
-// floodFactor is how many times its fair share of the replicas' capacity one
-// tenant asks for under overload, while the others go on as before.
-const floodFactor = 10
+// overloadFactor is the load of the overloading tenant as a multiple of its fair
+// share of the replicas' capacity. The load of other tenants does not change.
+const overloadFactor = 10
 
 func init() {
-	addFault(fault{name: "overload", strike: strikeFlood, heal: healFlood})
+	registerFault(fault{name: "overload", inject: injectOverload, heal: healOverload})
 }
 
-func strikeFlood(_ context.Context, f *faults) {
+func injectOverload(_ context.Context, f *injector) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.flooding = f.run.mix.listTenant
+	f.overloadTenant = f.run.mix.scanTenant
 }
 
-func healFlood(f *faults) {
+func healOverload(f *injector) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.flooding = ""
+	f.overloadTenant = ""
 }
 
-// floodRate returns the requests a second of the flooding tenant.
-func (r *run) floodRate() float64 {
+// overloadRate returns the requests per second of the overloading tenant.
+func (r *run) overloadRate() float64 {
 	d := r.config.Deployment
 	replicas := float64(len(d.Databases) * (len(d.Zones) - 1))
 	capacity := replicas * float64(d.Slots) / d.ScanTime.Seconds()
@@ -31,10 +31,10 @@
 	for _, t := range d.Tenants {
 		weights += r.weight(t.Name)
 	}
-	return floodFactor * capacity * r.weight(r.mix.listTenant) / weights
+	return overloadFactor * capacity * r.weight(r.mix.scanTenant) / weights
 }
 
-// floodShare returns the flooding tenant's share of all requests.
-func (r *run) floodShare() float64 {
-	return r.floodRate() / (r.floodRate() + r.config.Rate)
+// overloadShare returns the overloading tenant's share of all requests.
+func (r *run) overloadShare() float64 {
+	return r.overloadRate() / (r.overloadRate() + r.config.Rate)
 }
--- a/internal/roseload/fault_primary.go
+++ b/internal/roseload/fault_primary.go
@@ -13,69 +13,70 @@
 )
 
 const (
-	// crashedFor is how long a crashed target stays down.
-	crashedFor = 1500 * time.Millisecond
-	// secondCrashAfter separates two crashes of primaries.
-	secondCrashAfter = 2500 * time.Millisecond
+	// crashDuration is how long a crashed target stays down.
+	crashDuration = 1500 * time.Millisecond
+	// secondCrashDelay is the time between two crashes of primaries.
+	secondCrashDelay = 2500 * time.Millisecond
 )
 
 func init() {
-	addFault(fault{name: "primary-crash", strike: strikeCrash, stopsWrites: true})
-	addFault(fault{name: "primary-crash-twice", strike: strikeCrashTwice, stopsWrites: true})
-	addFault(fault{name: "primary-silent", strike: strikeIsolate(false), heal: healNetwork, stopsWrites: true})
-	addFault(fault{name: "primary-cut", strike: strikeIsolate(true), heal: healNetwork, stopsWrites: true})
-	addFault(fault{name: "zone-cut", strike: strikeZoneCut, heal: healNetwork, stopsWrites: true})
-	addFault(fault{name: "primary-move", strike: strikeMove, stopsWrites: true})
+	registerFault(fault{name: "primary-crash", inject: injectPrimaryCrash, stopsWrites: true})
+	registerFault(fault{name: "primary-crash-twice", inject: injectTwoPrimaryCrashes, stopsWrites: true})
+	registerFault(fault{name: "primary-silent", inject: injectPrimaryPartition(false), heal: healNetwork, stopsWrites: true})
+	registerFault(fault{name: "primary-cut", inject: injectPrimaryPartition(true), heal: healNetwork, stopsWrites: true})
+	registerFault(fault{name: "zone-cut", inject: injectZonePartition, heal: healNetwork, stopsWrites: true})
+	registerFault(fault{name: "primary-move", inject: injectSwitchover, stopsWrites: true})
 }
 
-// strikeCrash ends the primary's process; it starts again after a while with
-// all that it had.
-func strikeCrash(ctx context.Context, f *faults) {
+// injectPrimaryCrash crashes the primary and restarts it after crashDuration
+// with its log intact.
+func injectPrimaryCrash(ctx context.Context, f *injector) {
 	primary := f.primary()
 	primary.Crash()
-	f.startLater(ctx, primary)
+	f.restartTargetLater(ctx, primary)
 }
 
-func strikeCrashTwice(ctx context.Context, f *faults) {
-	strikeCrash(ctx, f)
-	if roseclock.Sleep(ctx, secondCrashAfter) {
-		strikeCrash(ctx, f)
+func injectTwoPrimaryCrashes(ctx context.Context, f *injector) {
+	injectPrimaryCrash(ctx, f)
+	if roseclock.Sleep(ctx, secondCrashDelay) {
+		injectPrimaryCrash(ctx, f)
 	}
 }
 
-func (f *faults) startLater(ctx context.Context, t *rosetarget.Target) {
+func (f *injector) restartTargetLater(ctx context.Context, t *rosetarget.Target) {
 	f.tasks.Go(func() {
-		roseclock.Sleep(ctx, crashedFor)
+		roseclock.Sleep(ctx, crashDuration)
 		if err := t.Start(); err != nil {
 			klog.InfoS("target did not start again", "err", err)
 		}
 	})
 }
 
-// strikeIsolate splits the primary from everything, or from all but the
-// proxies of its own zone.
-func strikeIsolate(zoneStays bool) func(context.Context, *faults) {
-	return func(_ context.Context, f *faults) {
+// injectPrimaryPartition partitions the primary from all other hosts or, with
+// keepZone, from all hosts in other zones.
+func injectPrimaryPartition(keepZone bool) func(context.Context, *injector) {
+	return func(_ context.Context, f *injector) {
 		name := string(f.primary().Status().Target)
 		zone := f.zoneOf(f.primary())
 		f.run.stack.Network.SetBlocked(func(from, to rosenet.Host) bool {
 			if from.Name != name && to.Name != name {
 				return false
 			}
-			return !zoneStays || from.Zone != zone || to.Zone != zone
+			return !keepZone || from.Zone != zone || to.Zone != zone
 		})
 	}
 }
 
-// strikeZoneCut splits the primary's zone from the others and the platform.
-// Callers still reach every proxy.
-func strikeZoneCut(_ context.Context, f *faults) {
+// injectZonePartition partitions the primary's zone from the other zones and
+// the platform. Callers can still reach every proxy.
+func injectZonePartition(_ context.Context, f *injector) {
 	zone := f.zoneOf(f.primary())
-	f.run.stack.Network.SetBlocked(cutZone(zone))
+	f.run.stack.Network.SetBlocked(zonePartition(zone))
 }
 
-// cutZone returns the predicate that splits a zone from the others.
-func cutZone(zone string) func(from, to rosenet.Host) bool {
+// zonePartition returns a predicate for rosenet's SetBlocked that partitions
+// zone from all others except the callers'.
+func zonePartition(zone string) func(from, to rosenet.Host) bool {
 	return func(from, to rosenet.Host) bool {
 		if from.Zone == rosestack.CallerZone || to.Zone == rosestack.CallerZone {
 			return false
@@ -84,17 +85,17 @@
 	}
 }
 
-func healNetwork(f *faults) { f.run.stack.Network.SetBlocked(nil) }
+func healNetwork(f *injector) { f.run.stack.Network.SetBlocked(nil) }
 
-// strikeMove moves the primary as an operator would.
-func strikeMove(ctx context.Context, f *faults) {
-	p := f.run.stack.RunningProxies()[f.pick(len(f.run.stack.RunningProxies()))]
+// injectSwitchover moves the primary as an operator's command would.
+func injectSwitchover(ctx context.Context, f *injector) {
+	p := f.run.stack.RunningProxies()[f.randomInt(len(f.run.stack.RunningProxies()))]
 	if _, err := p.Daemon.MovePrimary(ctx, f.database(), ""); err != nil {
 		klog.InfoS("primary not moved", "err", err)
 	}
 }
 
-func (f *faults) zoneOf(t *rosetarget.Target) string {
+func (f *injector) zoneOf(t *rosetarget.Target) string {
 	id := string(t.Status().Target)
 	for _, d := range f.run.stack.BundleContent.Databases {
 		for _, target := range d.Targets {
--- a/internal/roseload/fault_proxies.go
+++ b/internal/roseload/fault_proxies.go
@@ -10,44 +10,43 @@
 )
 
 const (
-	// restartAfter is how long a proxy that ended stays away.
-	restartAfter = 500 * time.Millisecond
-	// drainTime bounds a graceful shutdown.
-	drainTime = 20 * time.Second
+	// restartDelay is the time between the end of a proxy and its restart.
+	restartDelay = 500 * time.Millisecond
+	drainTimeout = 20 * time.Second
 )
 
 func init() {
-	addFault(fault{name: "proxy-kill", strike: strikeKill})
-	addFault(fault{name: "proxy-drain", strike: strikeDrain})
+	registerFault(fault{name: "proxy-kill", inject: injectProxyKill})
+	registerFault(fault{name: "proxy-drain", inject: injectProxyDrain})
 }
 
-// strikeKill ends half of the proxies at once, one after the other.
-func strikeKill(ctx context.Context, f *faults) {
+// injectProxyKill kills and restarts half of the proxies, one after the other.
+func injectProxyKill(ctx context.Context, f *injector) {
 	for i := range len(f.run.stack.Proxies) / 2 {
 		f.run.stack.Proxies[i].Kill()
-		if !roseclock.Sleep(ctx, restartAfter) {
+		if !roseclock.Sleep(ctx, restartDelay) {
 			return
 		}
-		f.restart(i)
+		f.restartProxy(i)
 	}
 }
 
-// strikeDrain shuts half of the proxies down gracefully.
-func strikeDrain(ctx context.Context, f *faults) {
+// injectProxyDrain drains and restarts half of the proxies, one after the other.
+func injectProxyDrain(ctx context.Context, f *injector) {
 	for i := range len(f.run.stack.Proxies) / 2 {
-		draining, cancel := context.WithTimeout(context.Background(), drainTime)
-		if err := f.run.stack.Proxies[i].Drain(draining); err != nil {
+		drainCtx, cancel := context.WithTimeout(context.Background(), drainTimeout)
+		if err := f.run.stack.Proxies[i].Drain(drainCtx); err != nil {
 			klog.InfoS("drain did not end", "err", err)
 		}
 		cancel()
-		if !roseclock.Sleep(ctx, restartAfter) {
+		if !roseclock.Sleep(ctx, restartDelay) {
 			return
 		}
-		f.restart(i)
+		f.restartProxy(i)
 	}
 }
 
-func (f *faults) restart(i int) {
+func (f *injector) restartProxy(i int) {
 	if _, err := f.run.stack.StartProxy(i); err != nil {
 		klog.InfoS("proxy did not start again", "proxy", i, "err", err)
 	}
--- a/internal/roseload/fault_replicas.go
+++ b/internal/roseload/fault_replicas.go
@@ -7,27 +7,27 @@
 	"github.com/rosemarywell/rosemarywell/pkg/roseclock"
 )
 
-// lagTime is how far a lagging replica falls behind.
-const lagTime = 4 * time.Second
+// replicaLag is the replication delay of a lagging replica.
+const replicaLag = 4 * time.Second
 
 func init() {
-	addFault(fault{name: "replica-lag", strike: strikeLag, heal: healLag})
-	addFault(fault{name: "silent-connections", strike: strikeSilence})
+	registerFault(fault{name: "replica-lag", inject: injectReplicaLag, heal: healReplicaLag})
+	registerFault(fault{name: "silent-connections", inject: injectStalledConnections})
 }
 
-// strikeLag holds one replica of every database back.
-func strikeLag(_ context.Context, f *faults) {
+// injectReplicaLag delays replication to one replica of every database.
+func injectReplicaLag(_ context.Context, f *injector) {
 	for _, cluster := range f.run.stack.Clusters {
 		for _, t := range cluster.Targets() {
 			if status := t.Status(); !status.LeadsTerm() {
-				t.SetLag(lagTime)
+				t.SetLag(replicaLag)
 				break
 			}
 		}
 	}
 }
 
-func healLag(f *faults) {
+func healReplicaLag(f *injector) {
 	for _, cluster := range f.run.stack.Clusters {
 		for _, t := range cluster.Targets() {
 			t.SetLag(0)
@@ -35,12 +35,12 @@
 	}
 }
 
-// strikeSilence stalls every open connection of one target for good, three
-// times.
-func strikeSilence(ctx context.Context, f *faults) {
+// injectStalledConnections permanently stalls all open connections of a random
+// target, three times.
+func injectStalledConnections(ctx context.Context, f *injector) {
 	targets := f.run.stack.Clusters[f.database()].Targets()
 	for range 3 {
-		i := f.pick(len(targets))
+		i := f.randomInt(len(targets))
 		for id := range targets {
 			if i == 0 {
 				f.run.stack.Network.StallStreams(string(id))
--- a/internal/roseload/fault_store.go
+++ b/internal/roseload/fault_store.go
@@ -10,42 +10,45 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosepeer"
 )
 
-// pausedFor is how long a paused supervisor is out of reach.
-const pausedFor = 3 * time.Second
+// supervisorPartitionTime is how long the supervisor is partitioned from all
+// other hosts.
+const supervisorPartitionTime = 3 * time.Second
 
 func init() {
-	addFault(fault{name: "store-down", strike: strikeStoreDown, heal: healStore})
-	addFault(fault{name: "store-lost-answers", strike: strikeLostAnswers, heal: healStore})
-	addFault(fault{name: "store-slow", strike: strikeStoreSlow, heal: healStore})
-	addFault(fault{name: "store-from-past", strike: strikeStorePast, heal: healStore})
-	addFault(fault{name: "supervisor-paused", strike: strikePaused, heal: healNetwork, stopsWrites: true})
+	registerFault(fault{name: "store-down", inject: injectStoreDown, heal: healStore})
+	registerFault(fault{name: "store-lost-answers", inject: injectLostResponses, heal: healStore})
+	registerFault(fault{name: "store-slow", inject: injectStoreDelay, heal: healStore})
+	registerFault(fault{name: "store-from-past", inject: injectStaleStoreReads, heal: healStore})
+	registerFault(fault{name: "supervisor-paused", inject: injectSupervisorPartition, heal: healNetwork, stopsWrites: true})
 }
 
-func strikeStoreDown(_ context.Context, f *faults) { f.run.stack.Platform.SetDown(true) }
+func injectStoreDown(_ context.Context, f *injector) { f.run.stack.Platform.SetDown(true) }
 
-func strikeLostAnswers(_ context.Context, f *faults) { f.run.stack.Platform.SetDropResponses(true) }
+func injectLostResponses(_ context.Context, f *injector) { f.run.stack.Platform.SetDropResponses(true) }
 
-// slowStore is how much longer each call takes at a slow store.
-const slowStore = 700 * time.Millisecond
+// slowStoreDelay is the additional duration of each call to a slow store.
+const slowStoreDelay = 700 * time.Millisecond
 
-func strikeStoreSlow(_ context.Context, f *faults) { f.run.stack.Platform.SetDelay(slowStore) }
+func injectStoreDelay(_ context.Context, f *injector) { f.run.stack.Platform.SetDelay(slowStoreDelay) }
 
-// strikeStorePast accepts a bundle and then lets reads answer from before it.
-func strikeStorePast(ctx context.Context, f *faults) {
+// injectStaleStoreReads freezes the state that the store's reads return, and
+// proposes bundles while proxies restart.
+func injectStaleStoreReads(ctx context.Context, f *injector) {
 	f.run.stack.Platform.SetStaleReads(true)
-	strikeRestart(ctx, f)
+	injectProxyRestart(ctx, f)
 }
 
-func healStore(f *faults) {
+func healStore(f *injector) {
 	f.run.stack.Platform.SetDelay(0)
 	f.run.stack.Platform.SetStaleReads(false)
 	f.run.stack.Platform.SetDown(false)
 	f.run.stack.Platform.SetDropResponses(false)
 }
 
-// strikePaused takes away the proxy that would replace the primary, and then
-// the primary: the next supervisor has to act.
-func strikePaused(ctx context.Context, f *faults) {
+// injectSupervisorPartition partitions the proxy that is first in line to
+// replace the primary and then crashes the primary, so that the next supervisor
+// has to act.
+func injectSupervisorPartition(ctx context.Context, f *injector) {
 	var members []rosemary.Member
 	for _, p := range f.run.stack.RunningProxies() {
 		members = append(members, rosemary.Member{Proxy: rosemary.ProxyID(p.Name)})
@@ -55,8 +58,8 @@
 		return from.Name == first || to.Name == first
 	})
 	f.tasks.Go(func() {
-		roseclock.Sleep(ctx, pausedFor)
+		roseclock.Sleep(ctx, supervisorPartitionTime)
 		healNetwork(f)
 	})
-	strikeCrash(ctx, f)
+	injectPrimaryCrash(ctx, f)
 }
--- a/internal/roseload/faults.go
+++ b/internal/roseload/faults.go
@@ -15,73 +15,73 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// fault is something that goes wrong during a run: it strikes at a third of
-// the run and is healed at two thirds.
+// fault is injected after a third of the run and healed after two thirds.
 type fault struct {
 	name string
-	// strike brings the fault about. Nil needs no act.
-	strike func(ctx context.Context, f *faults)
-	// heal ends it. Nil needs no end.
-	heal func(f *faults)
-	// stopsWrites is set when writes of the first database stop for a time.
+	// inject starts the fault. It may be nil.
+	inject func(ctx context.Context, f *injector)
+	// heal ends the fault. It may be nil.
+	heal func(f *injector)
+	// stopsWrites is set if writes to the first database stop for some time.
 	stopsWrites bool
 }
 
-// catalogue lists the faults by name; each adds itself.
-var catalogue = map[string]fault{}
+// faultsByName holds the faults that registerFault added.
+var faultsByName = map[string]fault{}
 
-func addFault(f fault) { catalogue[f.name] = f }
+func registerFault(f fault) { faultsByName[f.name] = f }
 
-// FaultNames lists the faults that a run can have.
+// FaultNames returns the sorted names of all faults, with "none" among them.
 func FaultNames() []string {
 	names := []string{"none"}
-	for name := range catalogue {
+	for name := range faultsByName {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// faults brings about the faults of one run.
-type faults struct {
-	run    *run
-	chosen []fault
-
-	mu       sync.Mutex
-	random   *rand.Rand
-	struckAt time.Time
-	flooding string
-	healing  sync.Once
-	tasks    sync.WaitGroup
+// injector injects and heals the faults of one run.
+type injector struct {
+	run      *run
+	selected []fault
+
+	mu             sync.Mutex
+	random         *rand.Rand
+	injectedAt     time.Time
+	overloadTenant string
+	healOnce       sync.Once
+	tasks          sync.WaitGroup
 }
 
-func newFaults(r *run, names []string) (*faults, error) {
-	f := &faults{run: r, random: rand.New(rand.NewPCG(r.config.Seed, 3))}
+func newInjector(r *run, names []string) (*injector, error) {
+	f := &injector{run: r, random: rand.New(rand.NewPCG(r.config.Seed, 3))}
 	for _, name := range names {
 		if name == "none" {
 			continue
 		}
-		chosen, found := catalogue[name]
+		selected, found := faultsByName[name]
 		if !found {
-			return nil, trace.NotFound("no fault %q; use one of %v", name, FaultNames())
+			return nil, trace.NotFound("unknown fault %q; use one of %v", name, FaultNames())
 		}
-		f.chosen = append(f.chosen, chosen)
+		f.selected = append(f.selected, selected)
 	}
 	return f, nil
 }
 
-// play brings the faults about and heals them.
-func (f *faults) play(ctx context.Context) error {
+// injectAndHeal injects the faults after a third of the run, and heals them
+// another third later.
+func (f *injector) injectAndHeal(ctx context.Context) error {
 	third := f.run.config.Duration / 3
-	if len(f.chosen) == 0 || !roseclock.Sleep(ctx, third) {
+	if len(f.selected) == 0 || !roseclock.Sleep(ctx, third) {
 		return nil
 	}
 	f.mu.Lock()
-	f.struckAt = time.Now()
+	f.injectedAt = time.Now()
 	f.mu.Unlock()
-	for _, chosen := range f.chosen {
-		if chosen.strike != nil {
-			chosen.strike(ctx, f)
+	for _, s := range f.selected {
+		if s.inject != nil {
+			s.inject(ctx, f)
 		}
 	}
 	roseclock.Sleep(ctx, third)
@@ -89,47 +89,48 @@
 	return nil
 }
 
-func (f *faults) heal() {
-	f.healing.Do(func() {
-		for _, chosen := range f.chosen {
-			if chosen.heal != nil {
-				chosen.heal(f)
+func (f *injector) heal() {
+	f.healOnce.Do(func() {
+		for _, s := range f.selected {
+			if s.heal != nil {
+				s.heal(f)
 			}
 		}
 		f.tasks.Wait()
 	})
 }
 
-// flood returns the tenant whose requests crowd out the others, and whether
-// the next request is one of these.
-func (f *faults) flood(random *rand.Rand) (string, bool) {
+// nextOverloadRequest returns the overloading tenant, if any, and whether the
+// next request is one of its additional requests.
+func (f *injector) nextOverloadRequest(random *rand.Rand) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.flooding, f.flooding != "" && random.Float64() < f.run.floodShare()
+	return f.overloadTenant, f.overloadTenant != "" && random.Float64() < f.run.overloadShare()
 }
 
-// pace returns the factor on the time between requests.
-func (f *faults) pace() float64 {
+// intervalFactor returns the factor by which an overload shortens the time
+// between requests.
+func (f *injector) intervalFactor() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.flooding != "" {
-		return 1 - f.run.floodShare()
+	if f.overloadTenant != "" {
+		return 1 - f.run.overloadShare()
 	}
 	return 1
 }
 
-// pick returns a number below n that depends on the seed alone.
-func (f *faults) pick(n int) int {
+// randomInt returns a number below n from the run's seeded generator.
+func (f *injector) randomInt(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.IntN(n)
 }
 
-// database returns the database that a fault of a group hits.
-func (f *faults) database() string { return f.run.config.Deployment.Databases[0] }
+// database returns the database that faults of a single group affect.
+func (f *injector) database() string { return f.run.config.Deployment.Databases[0] }
 
-// primary returns the target that leads the database now.
-func (f *faults) primary() *rosetarget.Target {
+// primary returns the target that leads the highest term of the database.
+func (f *injector) primary() *rosetarget.Target {
 	var primary *rosetarget.Target
 	term := uint64(0)
 	for _, t := range f.run.stack.Clusters[f.database()].Targets() {
@@ -140,8 +141,9 @@
 	return primary
 }
 
-// replicas returns the other targets of the database.
-func (f *faults) replicas() []*rosetarget.Target {
+// replicas returns the database's targets with the role of a replica, sorted by
+// identifier.
+func (f *injector) replicas() []*rosetarget.Target {
 	var replicas []*rosetarget.Target
 	for _, t := range f.run.stack.Clusters[f.database()].Targets() {
 		if t.Status().Role == rosemary.RoleReplica {
@@ -154,11 +156,11 @@
 	return replicas
 }
 
-// SplitFaults splits names joined by "+"; a fault whose own name has one goes
-// before its parts.
+// SplitFaults splits fault names joined by "+". A fault whose own name contains
+// "+" takes precedence over its parts.
 func SplitFaults(text string) []string {
 	var names []string
-	for name, f := range catalogue {
+	for name, f := range faultsByName {
 		if strings.Contains(name, "+") && strings.Contains(text, f.name) {
 			names = append(names, name)
 			text = strings.Trim(strings.ReplaceAll(text, name, ""), "+")
--- a/internal/roseload/history.go
+++ b/internal/roseload/history.go
@@ -1,5 +1,6 @@
-// Package roseload runs a deployment under its customer's mix of requests,
-// with faults, records what every caller saw, and checks that history.
+// Package roseload generates load on a deployment with its customer's mix of
+// requests, injects faults, records the history of operations that callers saw
+// and checks its consistency.
 package roseload
 
 import (
@@ -7,22 +8,22 @@
 	"time"
 )
 
-// Kind is what an operation does.
+// Kind is the kind of an operation.
 type Kind string
 
 // Kinds of operations.
 const (
-	// KindRead reads registers under a declared class.
+	// KindRead reads registers with a declared class.
 	KindRead Kind = "read"
-	// KindWrite sets a register, and may be repeated.
+	// KindWrite sets a register. It is idempotent.
 	KindWrite Kind = "write"
-	// KindOnce inserts a row that must not be there twice.
+	// KindInsert inserts a row that must not be inserted twice.
 	KindInsert Kind = "once"
-	// KindSwap reads and sets a register in a transaction.
+	// KindSwap reads and then sets a register in a transaction.
 	KindSwap Kind = "swap"
 )
 
-// Outcome is what the caller was told.
+// Outcome is the outcome of an operation as reported to the caller.
 type Outcome string
 
 // Outcomes of an operation.
@@ -30,28 +31,31 @@
 	OutcomeAnswered Outcome = "answered"
 	OutcomeNotRun   Outcome = "not run"
 	OutcomeUnknown  Outcome = "outcome unknown"
-	// OutcomeDuplicate tells that the request ran before.
+	// OutcomeDuplicate is the outcome of a request whose identifier was claimed
+	// before.
 	OutcomeDuplicate Outcome = "duplicate"
 )
 
-// Operation is one request as its caller saw it.
+// Operation is one request and its response, as the caller saw them.
 type Operation struct {
 	Session  string
 	Tenant   string
 	Class    string
 	Database string
 	Kind     Kind
-	// Key names the register, or the request of a KindOnce.
+	// Key is the register's key or, for KindInsert, the request identifier.
 	Key   string
 	Value int64
-	// Attempt counts the tries of a KindOnce under one request identifier.
+	// Attempt counts the attempts of a KindInsert with one request identifier,
+	// from 1.
 	Attempt int
-	// Seen holds the registers read, by key.
+	// ReadValues holds the values read, by key.
 	ReadValues map[string]int64
-	// Wrong is set when the answer was not to this request.
+	// WrongAnswer is set if the response does not match the request.
 	WrongAnswer bool
 	MaxAge      time.Duration
-	// Sent is when the request was due; Start when it was sent.
+	// Due is the scheduled arrival of the request, from which its latency
+	// counts. Start is when it was sent.
 	Due     time.Time
 	Start   time.Time
 	End     time.Time
@@ -59,7 +63,7 @@
 	Error   string
 }
 
-// history collects operations from many sessions.
+// history collects the operations of all sessions.
 type history struct {
 	mu         sync.Mutex
 	operations []Operation
@@ -71,7 +75,7 @@
 	h.operations = append(h.operations, o)
 }
 
-func (h *history) all() []Operation {
+func (h *history) snapshot() []Operation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]Operation(nil), h.operations...)
--- a/internal/roseload/linear.go
+++ b/internal/roseload/linear.go
@@ -8,28 +8,29 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// inOrder sorts operations by the time at which they were sent.
-func inOrder(operations []Operation) []Operation {
+// sortedByStart returns operations in the order in which they were sent.
+func sortedByStart(operations []Operation) []Operation {
 	sorted := slices.Clone(operations)
 	slices.SortStableFunc(sorted, func(a, b Operation) int { return a.Start.Compare(b.Start) })
 	return sorted
 }
 
-// swapInput is a transaction that reads a register and sets it.
+// swapInput is the input of a transaction that reads and sets a register.
 type swapInput struct {
 	value int64
-	// plain sets the register without reading it.
-	plain bool
+	// writeOnly is set for a write that does not read the register.
+	writeOnly bool
 }
 
-// swapOutput is what the transaction read; unknown outcomes read nothing.
+// swapOutput is the output of a transaction. With an unknown outcome, the value
+// read is ignored.
 type swapOutput struct {
-	seen    int64
-	unknown bool
+	readValue int64
+	unknown   bool
 }
 
-// swapModel is a register under swaps. A swap of unknown outcome may have run
-// or not: both states are kept.
+// swapModel is the sequential specification of a register. An operation of
+// unknown outcome leads to both possible states.
 var swapModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, output any) []any {
@@ -37,7 +38,7 @@
 		switch {
 		case out.unknown:
 			return []any{state, in.value}
-		case in.plain || state.(int64) == out.seen:
+		case in.writeOnly || state.(int64) == out.readValue:
 			return []any{in.value}
 		}
 		return nil
@@ -45,29 +46,30 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// linearLimit bounds the search for one register.
-const linearLimit = 20 * time.Second
+// linearizabilityTimeout bounds the check of one register. A check that runs
+// into it does not count as a violation.
+const linearizabilityTimeout = 20 * time.Second
 
-// checkRegisters checks with porcupine that the transactions on each register
-// are linearizable: a lost or a repeated one breaks the chain of values read.
+// checkRegisters checks with porcupine that the operations on each register are
+// linearizable. A lost or repeated swap breaks the chain of values read.
 func (f *findings) checkRegisters(database string, operations []Operation) {
 	histories := make(map[string][]porcupine.Operation)
 	clients := make(map[string]int)
-	for _, o := range inOrder(operations) {
+	for _, o := range sortedByStart(operations) {
 		if o.Kind != KindSwap && o.Kind != KindWrite || o.Outcome == OutcomeNotRun || o.Outcome == OutcomeDuplicate {
 			continue
 		}
 		if _, known := clients[o.Session]; !known {
 			clients[o.Session] = len(clients)
 		}
-		out := swapOutput{seen: o.ReadValues[o.Key], unknown: o.Outcome != OutcomeAnswered}
+		out := swapOutput{readValue: o.ReadValues[o.Key], unknown: o.Outcome != OutcomeAnswered}
 		end := o.End.UnixNano()
 		if out.unknown {
 			end = farFuture
 		}
 		histories[o.Key] = append(histories[o.Key], porcupine.Operation{
 			ClientId: clients[o.Session],
-			Input:    swapInput{value: o.Value, plain: o.Kind == KindWrite},
+			Input:    swapInput{value: o.Value, writeOnly: o.Kind == KindWrite},
 			Call:     o.Start.UnixNano(),
 			Output:   out,
 			Return:   end,
@@ -80,11 +82,12 @@
 	slices.SortFunc(keys, cmp.Compare)
 	model := swapModel.ToModel()
 	for _, key := range keys {
-		if porcupine.CheckOperationsTimeout(model, histories[key], linearLimit) == porcupine.Illegal {
-			f.note(&f.NotLinearizable, "register %s of %s is not linearizable", key, database)
+		if porcupine.CheckOperationsTimeout(model, histories[key], linearizabilityTimeout) == porcupine.Illegal {
+			f.add(&f.NotLinearizable, "operations on register %s of database %s are not linearizable", key, database)
 		}
 	}
 }
 
-// farFuture is later than any operation of a run.
+// farFuture is the return time of operations with an unknown outcome: they may
+// take effect at any later time.
 const farFuture = int64(1) << 62
--- a/internal/roseload/main_test.go
+++ b/internal/roseload/main_test.go
@@ -9,7 +9,8 @@
 	"k8s.io/klog/v2"
 )
 
-// TestMain keeps the logs of many simulated proxies out of the tests' output.
+// TestMain discards the logs of the simulated proxies, unless
+// ROSEMARY_TEST_LOG is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROSEMARY_TEST_LOG") == "" {
 		flags := flag.NewFlagSet("klog", flag.ContinueOnError)
--- a/internal/roseload/mix.go
+++ b/internal/roseload/mix.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// registers is the number of rows that operations use. The first half is
-// changed by swaps, the second by writes.
-const registers = 100
+// registerCount is the number of rows that operations use. Swaps change the
+// first half, writes the second.
+const registerCount = 100
 
-// mix is a customer's share of each kind of request, and its SQL.
+// mix is a customer's mix of requests: the share, class, tenant and SQL of each
+// kind.
 type mix struct {
-	// shares of reads by key and by range, writes, requests that run once;
-	// swaps are the rest.
-	read, list, write, once float64
-	readClass, listClass    string
-	writeClass, onceClass   string
-	readTenant, listTenant  string
-	writeTenant             string
-	readAge, listAge        time.Duration
-	key                     func(i int) string
-	table                   string
-	versionField            int
-	onceTable               string
-	writeSQL                func(i int, value int64) string
-	onceSQL                 func(id string, i int) string
+	// readShare is for reads by key, scanShare for reads by range. The remaining
+	// share is for swaps.
+	readShare, scanShare, writeShare, insertShare float64
+	readClass, scanClass                          string
+	writeClass, insertClass                       string
+	readTenant, scanTenant                        string
+	writeTenant                                   string
+	readMaxAge, scanMaxAge                        time.Duration
+	key                                           func(i int) string
+	table                                         string
+	versionField                                  int
+	insertTable                                   string
+	writeSQL                                      func(i int, value int64) string
+	insertSQL                                     func(id string, i int) string
 }
 
-// listRows is the number of rows of a read by range.
-const listRows = 10
+// scanRows is the number of rows of a read by range.
+const scanRows = 10
 
 func mixFor(deployment string) mix {
 	if deployment == "guatemala" {
@@ -40,15 +41,15 @@
 
 func licenceMix() mix {
 	return mix{
-		read: 0.45, list: 0.25, write: 0.15, once: 0.07,
-		readClass: "lookup", listClass: "dispatch-status", writeClass: "renewal", onceClass: "suspension",
-		readTenant: "inspectors", listTenant: "dispatch", writeTenant: "counter",
-		readAge: 2 * time.Second, listAge: 10 * time.Second,
-		key: strconv.Itoa, table: "licences", versionField: 4, onceTable: "audit",
+		readShare: 0.45, scanShare: 0.25, writeShare: 0.15, insertShare: 0.07,
+		readClass: "lookup", scanClass: "dispatch-status", writeClass: "renewal", insertClass: "suspension",
+		readTenant: "inspectors", scanTenant: "dispatch", writeTenant: "counter",
+		readMaxAge: 2 * time.Second, scanMaxAge: 10 * time.Second,
+		key: strconv.Itoa, table: "licences", versionField: 4, insertTable: "audit",
 		writeSQL: func(i int, value int64) string {
 			return fmt.Sprintf("UPDATE licences SET expires = 2028, version = %d WHERE id = %d", value, i)
 		},
-		onceSQL: func(id string, i int) string {
+		insertSQL: func(id string, i int) string {
 			return fmt.Sprintf("INSERT INTO audit (id, licence, action) VALUES ('%s', %d, 'suspend')", id, i)
 		},
 	}
@@ -56,31 +57,31 @@
 
 func raceMix() mix {
 	return mix{
-		read: 0.50, list: 0.30, write: 0.10, once: 0.06,
-		readClass: "status", listClass: "entry-list", writeClass: "sign-up", onceClass: "payment",
-		readTenant: "runners", listTenant: "clubs", writeTenant: "runners",
-		readAge: 3 * time.Second, listAge: 10 * time.Second,
-		key: func(i int) string { return fmt.Sprintf("seed-%03d", i) }, table: "entries", versionField: 4, onceTable: "payments",
+		readShare: 0.50, scanShare: 0.30, writeShare: 0.10, insertShare: 0.06,
+		readClass: "status", scanClass: "entry-list", writeClass: "sign-up", insertClass: "payment",
+		readTenant: "runners", scanTenant: "clubs", writeTenant: "runners",
+		readMaxAge: 3 * time.Second, scanMaxAge: 10 * time.Second,
+		key: func(i int) string { return fmt.Sprintf("seed-%03d", i) }, table: "entries", versionField: 4, insertTable: "payments",
 		writeSQL: func(i int, value int64) string {
 			return fmt.Sprintf("UPDATE entries SET status = 'signed', version = %d WHERE id = 'seed-%03d'", value, i)
 		},
-		onceSQL: func(id string, i int) string {
+		insertSQL: func(id string, i int) string {
 			return fmt.Sprintf("INSERT INTO payments (id, entry, cents) VALUES ('%s', 'seed-%03d', 15000)", id, i)
 		},
 	}
 }
 
 func (m mix) readSQL(i int) string {
-	return fmt.Sprintf("SELECT id, version FROM %s WHERE id = %s /*class='%s'*/", m.table, m.quoted(i), m.readClass)
+	return fmt.Sprintf("SELECT id, version FROM %s WHERE id = %s /*class='%s'*/", m.table, m.quotedKey(i), m.readClass)
 }
 
-func (m mix) listSQL(i int) string {
+func (m mix) scanSQL(i int) string {
 	return fmt.Sprintf("SELECT id, version FROM %s WHERE id BETWEEN %s AND %s ORDER BY id LIMIT %d /*class='%s'*/",
-		m.table, m.quoted(i), m.quoted(i+listRows-1), listRows, m.listClass)
+		m.table, m.quotedKey(i), m.quotedKey(i+scanRows-1), scanRows, m.scanClass)
 }
 
 func (m mix) lockSQL(i int) string {
-	return fmt.Sprintf("SELECT id, version FROM %s WHERE id = %s FOR UPDATE", m.table, m.quoted(i))
+	return fmt.Sprintf("SELECT id, version FROM %s WHERE id = %s FOR UPDATE", m.table, m.quotedKey(i))
 }
 
-func (m mix) quoted(i int) string { return "'" + m.key(i) + "'" }
+func (m mix) quotedKey(i int) string { return "'" + m.key(i) + "'" }
--- a/internal/roseload/report.go
+++ b/internal/roseload/report.go
@@ -8,7 +8,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Report is the outcome of a run.
+// Report holds the results of a run. Its field names are the keys of the
+// printed JSON.
 type Report struct {
 	Deployment string
 	Faults     []string
@@ -30,28 +31,30 @@
 	WriteP50Ms float64
 	WriteP99Ms float64
 
-	// FailoverGapMs is the longest time between two acknowledged writes of
-	// the first database, around the fault.
+	// FailoverGapMs is the longest time between two consecutive acknowledged
+	// writes to the first database that ends after the fault was injected.
 	FailoverGapMs float64
-	// BundleP50Seconds and BundleP99Seconds are the times from a bundle's
-	// acceptance to its being in force, over proxies.
+	// BundleP50Seconds and BundleP99Seconds are percentiles, over bundles and
+	// proxies, of the time from acceptance to being in force.
 	BundleP50Seconds float64
 	BundleP99Seconds float64
-	// BundlesMissing counts the proxies that lacked a bundle at the end.
+	// BundlesMissing counts the pairs of running proxy and accepted bundle
+	// where the bundle was not seen in force by the end.
 	BundlesMissing int
-	// Reversions counts the proxies that went back to an older bundle.
+	// Reversions counts changes of a proxy to an older bundle.
 	Reversions int
-	// WorkAfterLeaving counts statements on a leaving target later than
-	// leavingTime after it was to get no new work.
+	// WorkAfterLeaving counts statements that a leaving target began later than
+	// leavingGracePeriod after it was marked as leaving.
 	WorkAfterLeaving int
-	// Fairness is Jain's index of what tenants got of their fair shares.
+	// Fairness is Jain's fairness index of the tenants' answered requests,
+	// relative to their max-min fair shares.
 	Fairness float64
 	Tenants  []TenantReport
 
 	findings
 }
 
-// TenantReport is what one tenant got.
+// TenantReport holds the results of one tenant.
 type TenantReport struct {
 	Name     string
 	Sent     int
@@ -60,7 +63,7 @@
 	P99Ms    float64
 }
 
-// ViolationCount returns the number of broken promises.
+// ViolationCount returns the number of violations.
 func (rep *Report) ViolationCount() int {
 	return rep.AcknowledgedLost + rep.ReadYourWritesViolations + rep.StaleBeyondAge + rep.DoubleRuns +
 		rep.MixedTransactions + rep.WrongAnswers + rep.FalseNotRun + rep.NotLinearizable +
@@ -68,7 +71,7 @@
 }
 
 func (r *run) report() *Report {
-	operations := r.history.all()
+	operations := r.history.snapshot()
 	rep := &Report{
 		Deployment: r.config.Deployment.Name,
 		Faults:     r.config.Faults,
@@ -92,8 +95,8 @@
 	rep.ReadP50Ms, rep.ReadP99Ms = percentile(reads, 0.5), percentile(reads, 0.99)
 	rep.WriteP50Ms, rep.WriteP99Ms = percentile(writes, 0.5), percentile(writes, 0.99)
 	rep.ReplicaReads, rep.ReplicaReadShare = r.replicaReads()
-	rep.FailoverGapMs = r.gap(operations)
-	times, missing := r.bundles.times()
+	rep.FailoverGapMs = r.failoverGap(operations)
+	times, missing := r.bundles.rolloutTimes()
 	rep.BundleP50Seconds, rep.BundleP99Seconds = percentile(times, 0.5)/1000, percentile(times, 0.99)/1000
 	rep.BundlesMissing, rep.Reversions = missing, r.bundles.reversions
 	rep.WorkAfterLeaving = r.workAfterLeaving()
@@ -102,14 +105,15 @@
 	return rep
 }
 
-// leavingTime is how long a leaving target may still get new work.
-const leavingTime = 2 * time.Second
+// leavingGracePeriod is how long a leaving target may still get new work.
+const leavingGracePeriod = 2 * time.Second
 
-// workAfterLeaving asks the leaving target itself what it served.
+// workAfterLeaving counts the late statements on the leaving target, as that
+// target recorded them.
 func (r *run) workAfterLeaving() int {
 	for _, cluster := range r.stack.Clusters {
-		if t := cluster.Target(rosemary.TargetID(r.left.id)); t != nil {
-			return t.StatementsAfter(r.left.since.Add(leavingTime))
+		if t := cluster.Target(rosemary.TargetID(r.leaving.id)); t != nil {
+			return t.StatementsAfter(r.leaving.since.Add(leavingGracePeriod))
 		}
 	}
 	return 0
@@ -134,12 +138,13 @@
 	}
 }
 
-// replicaReads returns how many declared reads replicas answered, and their
-// share, as the proxies that ran at the end counted them.
+// replicaReads returns the number and share of reads with a declared class that
+// replicas answered. Reads through a proxy before its last start are not
+// counted.
 func (r *run) replicaReads() (uint64, float64) {
 	var replica, primary uint64
 	for _, p := range r.stack.Proxies {
-		for _, class := range []string{r.mix.readClass, r.mix.listClass} {
+		for _, class := range []string{r.mix.readClass, r.mix.scanClass} {
 			replica += p.Daemon.Metrics().Answered(class, "replica")
 			primary += p.Daemon.Metrics().Answered(class, "primary")
 		}
@@ -150,19 +155,20 @@
 	return replica, float64(replica) / float64(replica+primary)
 }
 
-// gap returns the longest time in which no write of the first database was
-// acknowledged, from the fault on or, without one, anywhere.
-func (r *run) gap(operations []Operation) float64 {
+// failoverGap returns the longest time without an acknowledged write to the
+// first database, over the whole run if no fault was injected. Otherwise, only
+// gaps that end after the injection count.
+func (r *run) failoverGap(operations []Operation) float64 {
 	var ends []time.Time
 	for _, o := range operations {
-		if o.Kind != KindRead && o.Outcome == OutcomeAnswered && o.Database == r.fault.database() {
+		if o.Kind != KindRead && o.Outcome == OutcomeAnswered && o.Database == r.injector.database() {
 			ends = append(ends, o.End)
 		}
 	}
 	slices.SortFunc(ends, time.Time.Compare)
 	longest := time.Duration(0)
 	for i := 1; i < len(ends); i++ {
-		if !ends[i].Before(r.fault.struckAt) {
+		if !ends[i].Before(r.injector.injectedAt) {
 			longest = max(longest, ends[i].Sub(ends[i-1]))
 		}
 	}
@@ -175,7 +181,7 @@
 		rep := TenantReport{Name: t.Name}
 		var times []time.Duration
 		for _, o := range operations {
-			if o.Tenant != t.Name || !r.underFlood(o) {
+			if o.Tenant != t.Name || !r.countsForFairness(o) {
 				continue
 			}
 			rep.Sent++
@@ -190,49 +196,49 @@
 	return reports
 }
 
-// underFlood reports whether an operation counts for fairness: with a fault,
-// only those sent while it lasted do.
-func (r *run) underFlood(o Operation) bool {
-	struck := r.fault.struckAt
-	return struck.IsZero() || o.Due.After(struck) && o.Due.Before(struck.Add(r.config.Duration/3))
+// countsForFairness reports whether an operation counts for fairness. If a fault
+// was injected, only operations due while it lasted count.
+func (r *run) countsForFairness(o Operation) bool {
+	start := r.injector.injectedAt
+	return start.IsZero() || o.Due.After(start) && o.Due.Before(start.Add(r.config.Duration/3))
 }
 
-// fairness compares what tenants got with the max-min fair division, by
-// weight, of what was served in all.
+// fairness compares the tenants' answered requests with the weighted max-min
+// fair division of all answered requests.
 func (r *run) fairness(reports []TenantReport) float64 {
-	capacity, open := 0.0, make(map[string]float64)
+	capacity, unsatisfied := 0.0, make(map[string]float64)
 	for _, rep := range reports {
 		capacity += float64(rep.Answered)
 		if rep.Sent > 0 {
-			open[rep.Name] = float64(rep.Sent)
+			unsatisfied[rep.Name] = float64(rep.Sent)
 		}
 	}
 	fair := make(map[string]float64)
-	for len(open) > 0 {
+	for len(unsatisfied) > 0 {
 		weights := 0.0
-		for name := range open {
+		for name := range unsatisfied {
 			weights += r.weight(name)
 		}
-		settled := ""
-		for name, demand := range open {
+		satisfied := ""
+		for name, demand := range unsatisfied {
 			if demand <= capacity*r.weight(name)/weights {
-				settled = name
+				satisfied = name
 			}
 		}
-		if settled == "" {
-			for name := range open {
+		if satisfied == "" {
+			for name := range unsatisfied {
 				fair[name] = capacity * r.weight(name) / weights
 			}
 			break
 		}
-		fair[settled] = open[settled]
-		capacity -= open[settled]
-		delete(open, settled)
+		fair[satisfied] = unsatisfied[satisfied]
+		capacity -= unsatisfied[satisfied]
+		delete(unsatisfied, satisfied)
 	}
-	return jain(reports, fair)
+	return jainIndex(reports, fair)
 }
 
-func jain(reports []TenantReport, fair map[string]float64) float64 {
+func jainIndex(reports []TenantReport, fair map[string]float64) float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 	for _, rep := range reports {
 		if fair[rep.Name] == 0 {
--- a/internal/roseload/run.go
+++ b/internal/roseload/run.go
@@ -17,54 +17,55 @@
 	"github.com/rosemarywell/rosemarywell/internal/rosestack"
 )
 
-// Config sets up a run.
+// Config configures a run.
 type Config struct {
 	Deployment rosestack.Deployment
-	// For is how long requests arrive.
+	// Duration is how long requests arrive.
 	Duration time.Duration
 	Seed     uint64
-	// Rate is the number of requests that arrive in a second.
+	// Rate is the mean number of requests per second.
 	Rate float64
-	// Faults are the names of the faults to bring about, together.
+	// Faults are the names of the faults to inject, one after the other without
+	// a pause.
 	Faults   []string
 	Baseline rosedaemon.Baseline
 	InMemory bool
-	// Progress gets a line a second; nil is silent.
+	// Progress receives a line per second. It may be nil.
 	Progress io.Writer
 }
 
 const (
-	// defaultRate suits both deployments without a fault.
+	// defaultRate is a rate that both deployments sustain without a fault.
 	defaultRate = 600
-	// maxSessions bounds the sessions of a run; requests that find none
-	// idle are not sent.
+	// maxSessions bounds the sessions of a run. At this bound, a request that
+	// finds no idle session is not sent.
 	maxSessions = 1500
-	// warmUp is how long a stack runs before its load.
+	// warmUp is how long the stack runs before the load starts.
 	warmUp = 700 * time.Millisecond
-	// settleTime is how long replicas get to catch up at the end.
+	// settleTime is how long replicas can catch up after the load.
 	settleTime = 3 * time.Second
 )
 
-// run is one run of a load.
+// run holds the state of one run.
 type run struct {
-	config  Config
-	mix     mix
-	stack   *rosestack.Stack
-	history history
-	value   atomic.Int64
-	unsent  atomic.Int64
-	seeds   atomic.Uint64
-	fault   *faults
-	bundles *bundles
-	// left names the target that is leaving, and since when.
-	left leavingTarget
-
-	mu   sync.Mutex
-	idle map[string][]*session
-	all  int
+	config    Config
+	mix       mix
+	stack     *rosestack.Stack
+	history   history
+	lastValue atomic.Int64
+	unsent    atomic.Int64
+	lastSeed  atomic.Uint64
+	injector  *injector
+	bundles   *bundleTracker
+	leaving   leavingTarget
+
+	mu           sync.Mutex
+	idle         map[string][]*session
+	sessionCount int
 }
 
-// Run runs a load and returns its report.
+// Run starts a stack, generates load and injects faults, and returns a report
+// with the results of the checks.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	if config.Rate == 0 {
 		config.Rate = defaultRate
@@ -79,17 +80,17 @@
 	}
 	defer stack.Close()
 	r := &run{config: config, mix: mixFor(config.Deployment.Name), stack: stack, idle: make(map[string][]*session)}
-	if r.fault, err = newFaults(r, config.Faults); err != nil {
+	if r.injector, err = newInjector(r, config.Faults); err != nil {
 		return nil, err
 	}
-	r.bundles = newBundles(r)
-	r.seeds.Store(config.Seed)
+	r.bundles = newBundleTracker(r)
+	r.lastSeed.Store(config.Seed)
 	time.Sleep(warmUp)
-	observing, stop := context.WithCancel(ctx)
+	observerCtx, stop := context.WithCancel(ctx)
 	var observer sync.WaitGroup
-	observer.Go(func() { r.bundles.observe(observing) })
-	err = r.load(ctx)
-	r.fault.heal()
+	observer.Go(func() { r.bundles.observe(observerCtx) })
+	err = r.generateLoad(ctx)
+	r.injector.heal()
 	time.Sleep(settleTime)
 	stop()
 	observer.Wait()
@@ -99,20 +100,21 @@
 	return r.report(), nil
 }
 
-// load lets requests arrive, whatever becomes of those before them.
-func (r *run) load(ctx context.Context) error {
+// generateLoad sends requests in an open loop with exponentially distributed
+// intervals: requests do not wait for earlier ones.
+func (r *run) generateLoad(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	random := rand.New(rand.NewPCG(r.config.Seed, 1))
 	tasks, ctx := errgroup.WithContext(ctx)
-	tasks.Go(func() error { return r.fault.play(ctx) })
+	tasks.Go(func() error { return r.injector.injectAndHeal(ctx) })
 	var requests sync.WaitGroup
 	started := time.Now()
 	nextLine := started.Add(time.Second)
 	for due := started; due.Sub(started) < r.config.Duration; {
-		due = due.Add(time.Duration(random.ExpFloat64() / r.config.Rate * r.fault.pace() * float64(time.Second)))
+		due = due.Add(time.Duration(random.ExpFloat64() / r.config.Rate * r.injector.intervalFactor() * float64(time.Second)))
 		time.Sleep(time.Until(due))
-		kind, tenant := r.choose(random)
+		kind, tenant := r.chooseRequest(random)
 		database := r.config.Deployment.Databases[random.IntN(len(r.config.Deployment.Databases))]
 		r.dispatch(ctx, &requests, kind, tenant, database, due)
 		if r.config.Progress != nil && due.After(nextLine) {
@@ -124,102 +126,104 @@
 	requests.Wait()
 	cancel()
 	err := tasks.Wait()
-	r.hangUp()
+	r.disconnectIdle()
 	return err
 }
 
-// choose picks the kind of the next request and who sends it.
-func (r *run) choose(random *rand.Rand) (Kind, string) {
+// chooseRequest returns the kind and the tenant of the next request.
+func (r *run) chooseRequest(random *rand.Rand) (Kind, string) {
 	m := r.mix
-	if tenant, flooding := r.fault.flood(random); flooding {
+	if tenant, overload := r.injector.nextOverloadRequest(random); overload {
 		return KindRead, tenant
 	}
 	switch share := random.Float64(); {
-	case share < m.read:
+	case share < m.readShare:
 		return KindRead, m.readTenant
-	case share < m.read+m.list:
-		return KindRead, m.listTenant
-	case share < m.read+m.list+m.write:
+	case share < m.readShare+m.scanShare:
+		return KindRead, m.scanTenant
+	case share < m.readShare+m.scanShare+m.writeShare:
 		return KindWrite, m.writeTenant
-	case share < m.read+m.list+m.write+m.once:
+	case share < m.readShare+m.scanShare+m.writeShare+m.insertShare:
 		return KindInsert, m.writeTenant
 	}
 	return KindSwap, m.writeTenant
 }
 
 func (r *run) dispatch(ctx context.Context, requests *sync.WaitGroup, kind Kind, tenant, database string, due time.Time) {
-	s := r.take(tenant, database)
+	s := r.takeSession(tenant, database)
 	if s == nil {
 		r.unsent.Add(1)
 		return
 	}
 	requests.Go(func() {
 		s.perform(ctx, kind, due)
-		r.giveBack(s)
+		r.returnSession(s)
 	})
 }
 
-// take returns an idle session, or a new one while there are few.
-func (r *run) take(tenant, database string) *session {
+// takeSession returns an idle session or a new one, or nil if there are
+// maxSessions already.
+func (r *run) takeSession(tenant, database string) *session {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	pool := tenant + "/" + database
 	if idle := r.idle[pool]; len(idle) > 0 {
-		at := int(r.value.Load()) % len(idle)
-		s := idle[at]
-		r.idle[pool] = slices.Delete(idle, at, at+1)
+		i := int(r.lastValue.Load()) % len(idle)
+		s := idle[i]
+		r.idle[pool] = slices.Delete(idle, i, i+1)
 		return s
 	}
-	if r.all >= maxSessions {
+	if r.sessionCount >= maxSessions {
 		return nil
 	}
-	r.all++
+	r.sessionCount++
 	return &session{
 		run:      r,
-		random:   rand.New(rand.NewPCG(r.seeds.Add(1), 2)),
-		dialer:   r.stack.CallerDialer(fmt.Sprintf("caller-%d", r.all)),
+		random:   rand.New(rand.NewPCG(r.lastSeed.Add(1), 2)),
+		dialer:   r.stack.CallerDialer(fmt.Sprintf("caller-%d", r.sessionCount)),
 		database: database,
 		tenant:   tenant,
 	}
 }
 
-func (r *run) giveBack(s *session) {
+func (r *run) returnSession(s *session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	pool := s.tenant + "/" + s.database
 	r.idle[pool] = append(r.idle[pool], s)
 }
 
-func (r *run) hangUp() {
+func (r *run) disconnectIdle() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, idle := range r.idle {
 		for _, s := range idle {
-			s.hangUp()
+			s.disconnect()
 		}
 	}
 }
 
-// addresses lists the proxies that the balancer sends callers to.
+// addresses returns the addresses of the running proxies, as a load balancer
+// would use them.
 func (r *run) addresses() []string {
-	var list []string
+	var addresses []string
 	for _, p := range r.stack.RunningProxies() {
-		list = append(list, p.Address)
+		addresses = append(addresses, p.Address)
 	}
-	return list
+	return addresses
 }
 
-func (r *run) nextValue() int64 { return r.value.Add(1) }
+func (r *run) nextValue() int64 { return r.lastValue.Add(1) }
 
-// leavingTarget is a target that is to get no new work.
+// leavingTarget is a target that should get no new work from since on.
 type leavingTarget struct {
 	id    string
 	since time.Time
 }
 
-// leaving notes that a target is on its way out.
-func (r *run) leaving(id string) {
+// markLeaving records that a target is leaving from now on.
+func (r *run) markLeaving(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.left = leavingTarget{id, time.Now()}
+	r.leaving = leavingTarget{id, time.Now()}
 }
--- a/internal/roseload/run_test.go
+++ b/internal/roseload/run_test.go
@@ -15,7 +15,7 @@
 	"github.com/rosemarywell/rosemarywell/internal/rosestack"
 )
 
-// runFaults runs a load on the test's clock and returns its report.
+// runFaults runs a load with faults in a synctest bubble and returns its report.
 func runFaults(t *testing.T, deployment, faults string, seed uint64, rate float64, baseline rosedaemon.Baseline) *roseload.Report {
 	var report *roseload.Report
 	synctest.Test(t, func(t *testing.T) {
@@ -40,8 +40,8 @@
 	return report
 }
 
-// histories are the faults that are brought about alone, in pairs and twice.
-var histories = []string{
+// faultCases are the single and combined faults to test.
+var faultCases = []string{
 	"none",
 	"replica-lag",
 	"proxy-kill",
@@ -77,7 +77,7 @@
 }
 
 func TestHistoriesKeepEveryPromise(t *testing.T) {
-	for i, faults := range histories {
+	for i, faults := range faultCases {
 		deployment := []string{"costa-rica", "guatemala"}[i%2]
 		t.Run(fmt.Sprintf("%s/%s", deployment, faults), func(t *testing.T) {
 			t.Parallel()
@@ -89,8 +89,8 @@
 	}
 }
 
-// A proxy that acknowledges on the primary's word must be caught by the same
-// checks, or they would prove nothing.
+// Verifies that the checks find violations: a proxy that acknowledges writes
+// without waiting for a quorum loses them when the primary is partitioned.
 func TestHistoriesCatchAnUnsafeAcknowledgement(t *testing.T) {
 	c := qt.New(t)
 	report := runFaults(t, "costa-rica", "primary-cut", 7, 900, rosedaemon.Baseline{AcknowledgeOnPrimary: true})
--- a/internal/roseload/session.go
+++ b/internal/roseload/session.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// operationTimeout bounds one operation at the caller.
+	// operationTimeout is the caller's timeout of an operation, with its retries.
 	operationTimeout = 15 * time.Second
-	// roamShare is the share of operations before which a session moves.
-	roamShare = 0.03
-	// onceAttempts bounds the tries under one request identifier.
-	onceAttempts = 4
-	// retryPause separates a caller's own tries.
-	retryPause = 100 * time.Millisecond
+	// reconnectProbability is the probability that a session reconnects before
+	// an operation.
+	reconnectProbability = 0.03
+	// maxInsertAttempts bounds the attempts with one request identifier.
+	maxInsertAttempts = 4
+	// retryDelay is the delay before each retry by the caller.
+	retryDelay = 100 * time.Millisecond
 )
 
-// session is one caller's session, which roams between proxies.
+// session is a caller's session, which moves between proxies.
 type session struct {
 	run      *run
 	random   *rand.Rand
@@ -37,17 +38,18 @@
 	conn     *pgconn.PgConn
 }
 
-// connected makes sure that there is a connection, to another proxy if the
-// session roams now.
-func (s *session) connected(ctx context.Context) error {
-	if s.conn != nil && !s.conn.IsClosed() && s.random.Float64() >= roamShare {
+// ensureConnected connects to a random proxy if there is no open connection or,
+// with reconnectProbability, if there is one. A new connection resumes the
+// session by its token or its name, or starts another session.
+func (s *session) ensureConnected(ctx context.Context) error {
+	if s.conn != nil && !s.conn.IsClosed() && s.random.Float64() >= reconnectProbability {
 		return nil
 	}
-	s.hangUp()
+	s.disconnect()
 	settings := map[string]string{}
-	switch way := s.random.Float64(); {
-	case s.name == "" || way < 0.1:
-	case way < 0.35:
+	switch choice := s.random.Float64(); {
+	case s.name == "" || choice < 0.1:
+	case choice < 0.35:
 		settings["rosemary.session"] = s.name
 	default:
 		settings["rosemary.token"] = s.token
@@ -60,20 +62,21 @@
 			Tenant: s.tenant, Database: s.database, Settings: settings,
 		})
 		if err == nil {
-			s.remember()
+			s.saveSessionState()
 			return nil
 		}
 	}
 	return err
 }
 
-// remember keeps what the session needs to go on elsewhere.
-func (s *session) remember() {
+// saveSessionState saves the session's name and token, to resume the session on
+// another proxy.
+func (s *session) saveSessionState() {
 	s.name = s.conn.ParameterStatus("rosemary.session")
 	s.token = s.conn.ParameterStatus("rosemary.token")
 }
 
-func (s *session) hangUp() {
+func (s *session) disconnect() {
 	if s.conn == nil {
 		return
 	}
@@ -83,13 +86,13 @@
 	s.conn = nil
 }
 
-// perform runs one operation that was due at sent.
-func (s *session) perform(ctx context.Context, kind Kind, sent time.Time) {
+// perform runs one operation and adds it to the history.
+func (s *session) perform(ctx context.Context, kind Kind, due time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	o := Operation{Tenant: s.tenant, Database: s.database, Kind: kind, Due: sent}
-	if err := s.connected(ctx); err != nil {
-		o.Class = s.run.mix.classOf(kind)
+	o := Operation{Tenant: s.tenant, Database: s.database, Kind: kind, Due: due}
+	if err := s.ensureConnected(ctx); err != nil {
+		o.Class = s.run.mix.classFor(kind)
 		o.Start, o.End = time.Now(), time.Now()
 		o.Outcome, o.Error = OutcomeNotRun, err.Error()
 		s.run.history.add(o)
@@ -100,7 +103,7 @@
 	case KindWrite:
 		s.write(ctx, o)
 	case KindInsert:
-		s.once(ctx, o)
+		s.insert(ctx, o)
 	case KindSwap:
 		s.swap(ctx, o)
 	default:
@@ -108,43 +111,44 @@
 	}
 }
 
-func (m mix) classOf(kind Kind) string {
+func (m mix) classFor(kind Kind) string {
 	switch kind {
 	case KindWrite:
 		return m.writeClass
 	case KindInsert:
-		return m.onceClass
+		return m.insertClass
 	case KindSwap:
 		return "default"
 	}
 	return m.readClass
 }
 
-// do sends a statement and fills in the operation's outcome.
-func (s *session) do(ctx context.Context, o *Operation, query string) [][]string {
+// execute runs a statement and sets the times and the outcome of o.
+func (s *session) execute(ctx context.Context, o *Operation, query string) [][]string {
 	o.Start = time.Now()
 	rows, err := rosestack.Query(ctx, s.conn, query)
 	o.End = time.Now()
 	o.Outcome, o.Error = classify(err)
 	if !s.conn.IsClosed() {
-		s.remember()
+		s.saveSessionState()
 	}
 	return rows
 }
 
-// classify turns a driver's error into what the caller was told.
+// classify returns the outcome that an error of the driver reports, and the
+// error's text.
 func classify(err error) (Outcome, string) {
-	var answered *pgconn.PgError
+	var serverError *pgconn.PgError
 	switch {
 	case err == nil:
 		return OutcomeAnswered, ""
-	case errors.As(err, &answered) && answered.Code == "23505":
+	case errors.As(err, &serverError) && serverError.Code == "23505":
 		return OutcomeDuplicate, err.Error()
-	case errors.As(err, &answered) && answered.Detail == "outcome unknown":
+	case errors.As(err, &serverError) && serverError.Detail == "outcome unknown":
 		return OutcomeUnknown, err.Error()
-	case errors.As(err, &answered) && answered.Detail == "not run":
+	case errors.As(err, &serverError) && serverError.Detail == "not run":
 		return OutcomeNotRun, err.Error()
-	case errors.As(err, &answered):
+	case errors.As(err, &serverError):
 		return OutcomeNotRun, err.Error()
 	case pgconn.SafeToRetry(err):
 		return OutcomeNotRun, err.Error()
@@ -154,17 +158,17 @@
 
 func (s *session) read(ctx context.Context, o Operation) {
 	m := s.run.mix
-	i := s.random.IntN(registers - listRows)
-	if s.tenant == m.listTenant {
-		o.Class, o.MaxAge = m.listClass, m.listAge
-		s.finishRead(&o, s.do(ctx, &o, m.listSQL(i)), "", listRows)
+	i := s.random.IntN(registerCount - scanRows)
+	if s.tenant == m.scanTenant {
+		o.Class, o.MaxAge = m.scanClass, m.scanMaxAge
+		s.recordRead(&o, s.execute(ctx, &o, m.scanSQL(i)), "", scanRows)
 		return
 	}
-	o.Class, o.MaxAge = m.readClass, m.readAge
-	s.finishRead(&o, s.do(ctx, &o, m.readSQL(i)), m.key(i), 1)
+	o.Class, o.MaxAge = m.readClass, m.readMaxAge
+	s.recordRead(&o, s.execute(ctx, &o, m.readSQL(i)), m.key(i), 1)
 }
 
-func (s *session) finishRead(o *Operation, rows [][]string, key string, size int) {
+func (s *session) recordRead(o *Operation, rows [][]string, key string, wantRows int) {
 	o.Key = key
 	o.ReadValues = make(map[string]int64)
 	for _, r := range rows {
@@ -176,46 +180,47 @@
 		o.ReadValues[r[0]] = value
 	}
 	if o.Outcome == OutcomeAnswered {
-		_, own := o.ReadValues[key]
-		o.WrongAnswer = o.WrongAnswer || len(rows) != size || key != "" && !own
+		_, found := o.ReadValues[key]
+		o.WrongAnswer = o.WrongAnswer || len(rows) != wantRows || key != "" && !found
 	}
 	s.run.history.add(*o)
 }
 
 func (s *session) write(ctx context.Context, o Operation) {
 	m := s.run.mix
-	i := registers/2 + s.random.IntN(registers/2)
+	i := registerCount/2 + s.random.IntN(registerCount/2)
 	o.Class, o.Key, o.Value = m.writeClass, m.key(i), s.run.nextValue()
-	s.do(ctx, &o, fmt.Sprintf("%s /*class='%s'*/", m.writeSQL(i, o.Value), m.writeClass))
+	s.execute(ctx, &o, fmt.Sprintf("%s /*class='%s'*/", m.writeSQL(i, o.Value), m.writeClass))
 	s.run.history.add(o)
 }
 
-// once sends a request under an identifier, and sends it again after every
-// answer that leaves its outcome open, as a careful caller would.
-func (s *session) once(ctx context.Context, o Operation) {
+// insert sends a request with a request identifier and, as a careful caller
+// would, retries it with the same identifier until it is answered or refused as
+// a duplicate.
+func (s *session) insert(ctx context.Context, o Operation) {
 	m := s.run.mix
-	i := s.random.IntN(registers)
-	o.Class, o.Key = m.onceClass, fmt.Sprintf("r%d", s.run.nextValue())
-	for o.Attempt = 1; o.Attempt <= onceAttempts; o.Attempt++ {
-		statement := m.onceSQL(fmt.Sprintf("%s:%d", o.Key, o.Attempt), i)
-		s.do(ctx, &o, fmt.Sprintf("%s /*class='%s',request_id='%s'*/", statement, m.onceClass, o.Key))
+	i := s.random.IntN(registerCount)
+	o.Class, o.Key = m.insertClass, fmt.Sprintf("r%d", s.run.nextValue())
+	for o.Attempt = 1; o.Attempt <= maxInsertAttempts; o.Attempt++ {
+		statement := m.insertSQL(fmt.Sprintf("%s:%d", o.Key, o.Attempt), i)
+		s.execute(ctx, &o, fmt.Sprintf("%s /*class='%s',request_id='%s'*/", statement, m.insertClass, o.Key))
 		s.run.history.add(o)
 		if o.Outcome == OutcomeAnswered || o.Outcome == OutcomeDuplicate || ctx.Err() != nil {
 			return
 		}
-		time.Sleep(retryPause)
-		if err := s.connected(ctx); err != nil {
+		time.Sleep(retryDelay)
+		if err := s.ensureConnected(ctx); err != nil {
 			return
 		}
 		o.Session = s.name
 	}
 }
 
-// swap reads and sets a register in one transaction, and marks the
-// transaction with a row of its own.
+// swap reads and sets a register in one transaction. The transaction also
+// inserts a marker row, by which the check detects partly applied transactions.
 func (s *session) swap(ctx context.Context, o Operation) {
 	m := s.run.mix
-	i := s.random.IntN(registers / 2)
+	i := s.random.IntN(registerCount / 2)
 	o.Class, o.Key, o.Value = "default", m.key(i), s.run.nextValue()
 	o.ReadValues = make(map[string]int64)
 	started := time.Now()
@@ -223,33 +228,33 @@
 		"BEGIN",
 		m.lockSQL(i),
 		m.writeSQL(i, o.Value),
-		m.onceSQL(fmt.Sprintf("tx-%d", o.Value), i),
-		fmt.Sprintf("SELECT id, version FROM %s WHERE id = %s", m.table, m.quoted(i)),
+		m.insertSQL(fmt.Sprintf("tx-%d", o.Value), i),
+		fmt.Sprintf("SELECT id, version FROM %s WHERE id = %s", m.table, m.quotedKey(i)),
 		"COMMIT",
 	}
 	for n, step := range steps {
-		rows := s.do(ctx, &o, step)
+		rows := s.execute(ctx, &o, step)
 		o.Start = started
 		if o.Outcome != OutcomeAnswered {
 			if n < len(steps)-1 {
 				o.Outcome = OutcomeNotRun
 			}
 			s.run.history.add(o)
-			s.hangUp()
+			s.disconnect()
 			return
 		}
-		s.noteSwap(&o, n, rows, m.key(i))
+		s.checkSwapStep(&o, n, rows, m.key(i))
 	}
 	s.run.history.add(o)
 }
 
-// Steps of a swap whose rows are looked at.
+// Indexes of the steps of a swap whose rows are checked.
 const (
 	swapStepLock  = 1
 	swapStepCheck = 4
 )
 
-func (s *session) noteSwap(o *Operation, step int, rows [][]string, key string) {
+func (s *session) checkSwapStep(o *Operation, step int, rows [][]string, key string) {
 	if step != swapStepLock && step != swapStepCheck {
 		return
 	}
--- a/internal/roseload/summary.go
+++ b/internal/roseload/summary.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Summary is what several runs that differ in their seeds came to.
+// Summary aggregates the reports of runs with different seeds. Its field names
+// are the keys of the printed JSON.
 type Summary struct {
 	Deployment   string
 	Faults       []string
@@ -13,22 +14,23 @@
 	Unknown      int
 	Violations   int
 
-	// GapP50Ms, GapP99Ms and GapMaxMs are over the runs.
+	// GapP50Ms, GapP99Ms and GapMaxMs are the percentiles and the maximum of the
+	// runs' FailoverGapMs.
 	GapP50Ms float64
 	GapP99Ms float64
 	GapMaxMs float64
-	// The following are means over the runs.
+	// ReplicaReadShare and the latencies below are means over the runs.
 	ReplicaReadShare float64
 	ReadP50Ms        float64
 	ReadP99Ms        float64
 	WriteP50Ms       float64
 	WriteP99Ms       float64
-	// BundleP99Seconds is the greatest of the runs.
+	// BundleP99Seconds is the maximum of the runs.
 	BundleP99Seconds float64
 	Examples         []string
 }
 
-// Summarize puts reports together.
+// Summarize aggregates reports, of which there must be at least one.
 func Summarize(reports []*Report) *Summary {
 	s := &Summary{Deployment: reports[0].Deployment, Faults: reports[0].Faults, FirstSeed: reports[0].Seed, Runs: len(reports)}
 	var gaps []time.Duration
