--- a/internal/roseexplain/line.go
+++ b/internal/roseexplain/line.go
@@ -1,5 +1,5 @@
-// Package roseexplain puts the log lines of one request, written by several
-// processes, into one story.
+// Package roseexplain merges the log lines that several processes wrote about
+// one request into a timeline.
 package roseexplain
 
 import (
@@ -14,26 +14,27 @@
 
 // Line is one log line.
 type Line struct {
-	// At is the time of day by the clock of the process that wrote it.
+	// Time has no year and comes from the clock of the process that wrote the
+	// line.
 	Time time.Time
-	// Event is what happened, Fields what it was decided by.
+	// Event is the message, Fields its key-value pairs.
 	Event  string
 	Fields map[string]string
 	// Text is the line without its header.
 	Text string
 }
 
-// Log is what one process wrote.
+// Log holds the log lines of one process.
 type Log struct {
 	Process string
 	Lines   []Line
 }
 
-// maxLineBytes bounds one line; longer ones are no log lines.
+// maxLineBytes bounds one line; Read fails on a longer one.
 const maxLineBytes = 1 << 20
 
-// Read reads a log. Lines that can't be read are left out. The process is
-// named by the line with which it started, or else by name.
+// Read reads a log and skips lines that Parse rejects. The process is named
+// after the proxy in its start event, or else by name.
 func Read(name string, input io.Reader) (Log, error) {
 	log := Log{Process: name}
 	scanner := bufio.NewScanner(input)
@@ -51,20 +52,20 @@
 	return log, trace.Wrap(scanner.Err())
 }
 
-// startEvent is logged once by each process.
+// startEvent is logged once per start of a process.
 const startEvent = "proxy started"
 
-// header is the form of a line's time.
-const header = "0102 15:04:05.000000"
+// headerTimeLayout is the layout of klog's time stamps.
+const headerTimeLayout = "0102 15:04:05.000000"
 
-// Parse reads one line: a severity, a time, a thread, a place in the code, a
-// quoted event and its fields. What stands before the severity is passed over.
+// Parse reads one line in klog's structured format: severity, time, thread,
+// source location, quoted event and fields. Text before the severity is ignored.
 func Parse(text string) (Line, bool) {
-	end := strings.Index(text, "] \"")
-	if end < 0 {
+	headerEnd := strings.Index(text, "] \"")
+	if headerEnd < 0 {
 		return Line{}, false
 	}
-	words := strings.Fields(text[:end])
+	words := strings.Fields(text[:headerEnd])
 	if len(words) < 4 {
 		return Line{}, false
 	}
@@ -72,12 +73,12 @@
 	if len(words[0]) < 2 {
 		return Line{}, false
 	}
-	at, err := time.Parse(header, words[0][1:]+" "+words[1])
+	at, err := time.Parse(headerTimeLayout, words[0][1:]+" "+words[1])
 	if err != nil {
 		return Line{}, false
 	}
-	line := Line{Time: at, Text: text[end+2:], Fields: make(map[string]string)}
-	event, rest, ok := quoted(line.Text)
+	line := Line{Time: at, Text: text[headerEnd+2:], Fields: make(map[string]string)}
+	event, rest, ok := cutQuoted(line.Text)
 	if !ok {
 		return Line{}, false
 	}
@@ -87,8 +88,8 @@
 		if !found {
 			break
 		}
-		if text, after, ok := quoted(value); ok {
-			line.Fields[name], rest = text, after
+		if unquoted, remaining, ok := cutQuoted(value); ok {
+			line.Fields[name], rest = unquoted, remaining
 			continue
 		}
 		line.Fields[name], rest, _ = strings.Cut(value, " ")
@@ -96,8 +97,8 @@
 	return line, true
 }
 
-// quoted reads a quoted string off the start of text.
-func quoted(text string) (value, rest string, ok bool) {
+// cutQuoted splits a quoted string off the start of text.
+func cutQuoted(text string) (value, rest string, ok bool) {
 	prefix, err := strconv.QuotedPrefix(text)
 	if err != nil {
 		return "", "", false
--- a/internal/roseexplain/story.go
+++ b/internal/roseexplain/story.go
@@ -12,67 +12,70 @@
 	"github.com/gravitational/trace"
 )
 
-// Event is one line of a story.
+// Event is one line of a timeline.
 type Event struct {
 	Process string
 	Line
-	// When is the time by the clock of the process that answered the caller.
+	// AdjustedTime is the time by the clock of the process that answered the
+	// client.
 	AdjustedTime time.Time
-	// About is set for a line on the request itself; the others are what was
-	// believed at the time.
+	// NamesRequest is set for a line with the request's ID; other lines are state
+	// changes in the same period.
 	NamesRequest bool
 }
 
-// Timeline is what several logs tell of one request.
+// Timeline is the merged log lines that concern one request.
 type Timeline struct {
 	Request string
 	Events  []Event
-	// Shifts is how much was added to each process's clock.
+	// ClockOffsets holds what was added to the times of each process; those
+	// without an offset are missing.
 	ClockOffsets map[string]time.Duration
 }
 
-// defaultSpan is how long a request is taken to have lasted whose answer
-// doesn't tell.
-const defaultSpan = 2 * time.Second
+// defaultDuration is the assumed duration of a request whose result line has
+// none.
+const defaultDuration = 2 * time.Second
 
-// BuildTimeline gathers what the logs tell of a request, and the changes of belief about
-// its group, its targets and its proxies in the time before. The error is
-// trace.NotFound if no log names it.
-func BuildTimeline(logs []Log, request string, before time.Duration) (Timeline, error) {
-	answer, teller, found := findAnswer(logs, request)
+// BuildTimeline merges the log lines of a request with those on state changes of
+// its group, targets and proxies in the time before it. The error is
+// trace.NotFound if no log names the request.
+func BuildTimeline(logs []Log, request string, lookBack time.Duration) (Timeline, error) {
+	result, responder, found := findResult(logs, request)
 	if !found {
-		return Timeline{}, trace.NotFound("no log names request %q; give the logs of the proxy that its caller was connected to", request)
+		return Timeline{}, trace.NotFound("no log mentions request %q; include the log of the proxy that its client was connected to", request)
 	}
-	began := answer.Time.Add(-span(answer))
-	story := Timeline{Request: request, ClockOffsets: make(map[string]time.Duration)}
-	subjects := subjectsOf(logs, request)
+	start := result.Time.Add(-requestDuration(result))
+	timeline := Timeline{Request: request, ClockOffsets: make(map[string]time.Duration)}
+	subjects := findSubjects(logs, request)
 	for _, log := range logs {
-		shift := time.Duration(0)
-		if log.Process != teller {
-			shift = shiftInto(log, request, began, answer.Time)
+		offset := time.Duration(0)
+		if log.Process != responder {
+			offset = clockOffset(log, request, start, result.Time)
 		}
-		if shift != 0 {
-			story.ClockOffsets[log.Process] = shift
+		if offset != 0 {
+			timeline.ClockOffsets[log.Process] = offset
 		}
 		for _, line := range log.Lines {
-			when := line.Time.Add(shift)
-			about := line.Fields["request"] == request
-			inTime := !when.Before(began.Add(-before)) && !when.After(answer.Time)
-			if about || inTime && line.concerns(subjects) {
-				story.Events = append(story.Events, Event{Process: log.Process, Line: line, AdjustedTime: when, NamesRequest: about})
+			adjusted := line.Time.Add(offset)
+			namesRequest := line.Fields["request"] == request
+			inWindow := !adjusted.Before(start.Add(-lookBack)) && !adjusted.After(result.Time)
+			if namesRequest || inWindow && line.concernsAny(subjects) {
+				timeline.Events = append(timeline.Events, Event{Process: log.Process, Line: line, AdjustedTime: adjusted, NamesRequest: namesRequest})
 			}
 		}
 	}
-	slices.SortStableFunc(story.Events, func(a, b Event) int {
-		return cmp.Or(a.AdjustedTime.Compare(b.AdjustedTime), order(a)-order(b))
+	slices.SortStableFunc(timeline.Events, func(a, b Event) int {
+		return cmp.Or(a.AdjustedTime.Compare(b.AdjustedTime), sortRank(a)-sortRank(b))
 	})
-	return story, nil
+	return timeline, nil
 }
 
-// order puts what was believed before what it decided, and the answer last.
-func order(e Event) int {
+// sortRank puts state changes before lines of the request at the same time, and
+// the request's result last.
+func sortRank(e Event) int {
 	switch {
-	case e.answers():
+	case e.isResult():
 		return 2
 	case e.NamesRequest:
 		return 1
@@ -80,12 +83,12 @@
 	return 0
 }
 
-// answers reports whether a line tells what the caller got.
-func (l Line) answers() bool { return l.Event == "request served" || l.Event == "request refused" }
+// isResult reports whether a line holds the result that the client got.
+func (l Line) isResult() bool { return l.Event == "request served" || l.Event == "request refused" }
 
-// findAnswer returns the line that tells what the caller got, and the process
-// that wrote it.
-func findAnswer(logs []Log, request string) (Line, string, bool) {
+// findResult returns the line with the request's result and the process that
+// wrote it. Without such a line, it returns the last one that names the request.
+func findResult(logs []Log, request string) (Line, string, bool) {
 	var last Line
 	process := ""
 	for _, log := range logs {
@@ -93,7 +96,7 @@
 			if line.Fields["request"] != request {
 				continue
 			}
-			if line.answers() {
+			if line.isResult() {
 				return line, log.Process, true
 			}
 			last, process = line, log.Process
@@ -102,37 +105,37 @@
 	return last, process, process != ""
 }
 
-func span(answer Line) time.Duration {
-	if us, err := strconv.ParseInt(answer.Fields["us"], 10, 64); err == nil {
+func requestDuration(result Line) time.Duration {
+	if us, err := strconv.ParseInt(result.Fields["us"], 10, 64); err == nil {
 		return time.Duration(us) * time.Microsecond
 	}
-	return defaultSpan
+	return defaultDuration
 }
 
-// shiftInto returns the least shift of a process's clock that puts its lines on
-// the request between the request's begin and its answer.
-func shiftInto(log Log, request string, began, ended time.Time) time.Duration {
+// clockOffset returns the offset that moves the first of a process's lines on
+// the request that lies outside the request's duration to the nearer end of it.
+func clockOffset(log Log, request string, start, end time.Time) time.Duration {
 	for _, line := range log.Lines {
 		if line.Fields["request"] != request {
 			continue
 		}
 		switch {
-		case line.Time.Before(began):
-			return began.Sub(line.Time)
-		case line.Time.After(ended):
-			return ended.Sub(line.Time)
+		case line.Time.Before(start):
+			return start.Sub(line.Time)
+		case line.Time.After(end):
+			return end.Sub(line.Time)
 		}
 	}
 	return 0
 }
 
-// subjects are the names that a request's own lines mention.
+// subjects are the groups, targets and home proxies named in a request's lines.
 type subjects map[string]bool
 
-// subjectFields name what a belief may be about.
+// subjectFields are the log fields that hold a subject.
 var subjectFields = []string{"group", "target", "home"}
 
-func subjectsOf(logs []Log, request string) subjects {
+func findSubjects(logs []Log, request string) subjects {
 	names := make(subjects)
 	for _, log := range logs {
 		for _, line := range log.Lines {
@@ -149,15 +152,15 @@
 	return names
 }
 
-// processEvents concern every request of the process.
+// processEvents affect every request of the process that logs them.
 var processEvents = []string{
 	startEvent, "proxy stopping", "proxy stopped", "cut off changed", "isolation changed", "store lost", "store regained",
 	"configuration in force", "configuration pulled", "settings read anew", "log lines left out",
 }
 
-// concerns reports whether a line changes what the process believes about the
-// subjects, or about itself.
-func (l Line) concerns(names subjects) bool {
+// concernsAny reports whether a line is a state change of one of the subjects or
+// of the whole process.
+func (l Line) concernsAny(names subjects) bool {
 	if _, other := l.Fields["request"]; other {
 		return false
 	}
@@ -172,9 +175,10 @@
 	return false
 }
 
-// WriteText writes the story for a reader: lines on the request are marked.
-func (s Timeline) WriteText(w io.Writer) error {
-	for _, e := range s.Events {
+// WriteText writes the timeline as text, with the request's own lines marked by
+// ">".
+func (t Timeline) WriteText(w io.Writer) error {
+	for _, e := range t.Events {
 		mark := " "
 		if e.NamesRequest {
 			mark = ">"
@@ -183,8 +187,8 @@
 			return trace.Wrap(err)
 		}
 	}
-	for _, process := range slices.Sorted(maps.Keys(s.ClockOffsets)) {
-		if _, err := fmt.Fprintf(w, "clock of %s shifted by %v\n", process, s.ClockOffsets[process]); err != nil {
+	for _, process := range slices.Sorted(maps.Keys(t.ClockOffsets)) {
+		if _, err := fmt.Fprintf(w, "clock of %s shifted by %v\n", process, t.ClockOffsets[process]); err != nil {
 			return trace.Wrap(err)
 		}
 	}
