--- a/internal/rosesoak/fault.go
+++ b/internal/rosesoak/fault.go
@@ -8,36 +8,38 @@
 )
 
 const (
-	// leastPause and mostPause separate the starts of faults, which overlap.
-	leastPause = 300 * time.Millisecond
-	mostPause  = 2 * time.Second
-	// leastFault and mostFault bound how long one lasts.
-	leastFault = 200 * time.Millisecond
-	mostFault  = 4 * time.Second
-	// restartPause is how long a process that ended stays down.
-	restartPause = 300 * time.Millisecond
+	// minFaultInterval and maxFaultInterval bound the time between the starts of
+	// two faults. Faults may overlap.
+	minFaultInterval = 300 * time.Millisecond
+	maxFaultInterval = 2 * time.Second
+	// minFaultDuration and maxFaultDuration bound how long a fault lasts.
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 4 * time.Second
+	// restartInterval is the time between checks for exited processes.
+	restartInterval = 300 * time.Millisecond
 )
 
-// fault is one kind of trouble. It begins, and returns how it ends.
+// fault is a kind of fault that the soak injects. Its inject function starts one,
+// and returns a function that ends it and the affected proxy or target.
 type fault struct {
-	name  string
-	begin func(s *soak) (end func(), what string)
+	name   string
+	inject func(s *soak) (end func(), subject string)
 }
 
 var faults = []fault{
-	{"terminate a proxy", func(s *soak) (func(), string) { return s.signalOne(syscall.SIGTERM, 0) }},
-	{"kill a proxy", func(s *soak) (func(), string) { return s.signalOne(syscall.SIGKILL, 0) }},
-	{"pause a proxy", func(s *soak) (func(), string) { return s.signalOne(syscall.SIGSTOP, syscall.SIGCONT) }},
-	{"hang up a proxy", func(s *soak) (func(), string) { return s.signalOne(syscall.SIGHUP, 0) }},
-	{"crash the primary", func(s *soak) (func(), string) { return s.crash(s.primary()) }},
-	{"crash a target", func(s *soak) (func(), string) { return s.crash(pick(s, s.targets)) }},
-	{"silence the primary", func(s *soak) (func(), string) { return s.wireFault(s.primary(), modeSilent) }},
-	{"silence a target", func(s *soak) (func(), string) { return s.wireFault(pick(s, s.targets), modeSilent) }},
-	{"hold a target's answers", func(s *soak) (func(), string) { return s.wireFault(pick(s, s.targets), modeDeaf) }},
-	{"slow a target", func(s *soak) (func(), string) { return s.wireFault(pick(s, s.targets), modeSlow) }},
+	{"terminate a proxy", func(s *soak) (func(), string) { return s.signalRandomProxy(syscall.SIGTERM, 0) }},
+	{"kill a proxy", func(s *soak) (func(), string) { return s.signalRandomProxy(syscall.SIGKILL, 0) }},
+	{"pause a proxy", func(s *soak) (func(), string) { return s.signalRandomProxy(syscall.SIGSTOP, syscall.SIGCONT) }},
+	{"hang up a proxy", func(s *soak) (func(), string) { return s.signalRandomProxy(syscall.SIGHUP, 0) }},
+	{"crash the primary", func(s *soak) (func(), string) { return s.crashTarget(s.primary()) }},
+	{"crash a target", func(s *soak) (func(), string) { return s.crashTarget(pickRandom(s, s.targets)) }},
+	{"silence the primary", func(s *soak) (func(), string) { return s.setRelayMode(s.primary(), modeStall) }},
+	{"silence a target", func(s *soak) (func(), string) { return s.setRelayMode(pickRandom(s, s.targets), modeStall) }},
+	{"hold a target's answers", func(s *soak) (func(), string) { return s.setRelayMode(pickRandom(s, s.targets), modeStallReplies) }},
+	{"slow a target", func(s *soak) (func(), string) { return s.setRelayMode(pickRandom(s, s.targets), modeDelay) }},
 	{"reset a target's connections", func(s *soak) (func(), string) {
-		t := pick(s, s.targets)
-		t.wire.reset()
+		t := pickRandom(s, s.targets)
+		t.relay.closeConns()
 		return func() {}, string(t.id)
 	}},
 	{"lose answers", func(s *soak) (func(), string) {
@@ -50,9 +52,9 @@
 		return func() { s.store.SetDown(false) }, ""
 	}},
 	{"store out of reach of one proxy", func(s *soak) (func(), string) {
-		p := pick(s, s.processes)
-		p.store.set(modeSilent)
-		return func() { p.store.set(modePass) }, p.name
+		p := pickRandom(s, s.processes)
+		p.storeRelay.setMode(modeStall)
+		return func() { p.storeRelay.setMode(modeForward) }, p.name
 	}},
 	{"store loses answers", func(s *soak) (func(), string) {
 		s.store.DropResponses(2)
@@ -64,7 +66,7 @@
 	}},
 }
 
-func pick[T any](s *soak, of []T) T { return of[s.random.IntN(len(of))] }
+func pickRandom[T any](s *soak, items []T) T { return items[s.random.IntN(len(items))] }
 
 func (s *soak) primary() *target {
 	for _, t := range s.targets {
@@ -75,17 +77,17 @@
 	return s.targets[0]
 }
 
-func (s *soak) signalOne(begin, end syscall.Signal) (func(), string) {
-	p := pick(s, s.processes)
-	p.signal(begin)
+func (s *soak) signalRandomProxy(first, last syscall.Signal) (func(), string) {
+	p := pickRandom(s, s.processes)
+	p.signal(first)
 	return func() {
-		if end != 0 {
-			p.signal(end)
+		if last != 0 {
+			p.signal(last)
 		}
 	}, p.name
 }
 
-func (s *soak) crash(t *target) (func(), string) {
+func (s *soak) crashTarget(t *target) (func(), string) {
 	if !t.Running() {
 		return func() {}, "none"
 	}
@@ -93,54 +95,55 @@
 	return t.Restart, string(t.id)
 }
 
-func (s *soak) wireFault(t *target, m mode) (func(), string) {
-	t.wire.set(m)
-	return func() { t.wire.set(modePass) }, string(t.id)
+func (s *soak) setRelayMode(t *target, m relayMode) (func(), string) {
+	t.relay.setMode(m)
+	return func() { t.relay.setMode(modeForward) }, string(t.id)
 }
 
-// play begins faults in series that overlap, until ctx ends, and ends them all.
-func (s *soak) play(ctx context.Context) {
-	var open []func()
-	due := make(map[int]time.Time)
-	keeping, stop := context.WithCancel(context.Background())
-	s.tasks.Go(func() { s.keep(keeping) })
-	defer stop()
+// injectFaults starts random faults until ctx ends, and then ends those that are
+// still active. Meanwhile it restarts exited proxies.
+func (s *soak) injectFaults(ctx context.Context) {
+	var ends []func()
+	endTimes := make(map[int]time.Time)
+	restartCtx, stopRestarts := context.WithCancel(context.Background())
+	s.tasks.Go(func() { s.restartExited(restartCtx) })
+	defer stopRestarts()
 	for ctx.Err() == nil {
-		for n, at := range due {
+		for n, at := range endTimes {
 			if time.Now().After(at) {
-				open[n]()
-				delete(due, n)
+				ends[n]()
+				delete(endTimes, n)
 			}
 		}
-		f := pick(s, faults)
-		end, what := f.begin(s)
-		span := leastFault + time.Duration(s.random.Int64N(int64(mostFault-leastFault)))
-		fmt.Fprintf(s.config.Out, "%.2f s: %s %s for %v\n", time.Since(s.started).Seconds(), f.name, what, span.Round(time.Millisecond))
-		due[len(open)] = time.Now().Add(span)
-		open = append(open, end)
+		f := pickRandom(s, faults)
+		end, subject := f.inject(s)
+		duration := minFaultDuration + time.Duration(s.random.Int64N(int64(maxFaultDuration-minFaultDuration)))
+		fmt.Fprintf(s.config.Out, "%.2f s: %s %s for %v\n", time.Since(s.started).Seconds(), f.name, subject, duration.Round(time.Millisecond))
+		endTimes[len(ends)] = time.Now().Add(duration)
+		ends = append(ends, end)
 		s.mu.Lock()
 		s.report.Faults++
 		s.mu.Unlock()
-		sleep(ctx, leastPause+time.Duration(s.random.Int64N(int64(mostPause-leastPause))))
+		sleep(ctx, minFaultInterval+time.Duration(s.random.Int64N(int64(maxFaultInterval-minFaultInterval))))
 	}
-	for n := range due {
-		open[n]()
+	for n := range endTimes {
+		ends[n]()
 	}
 }
 
-// keep starts processes that ended again, as the platform does.
-func (s *soak) keep(ctx context.Context) {
-	for sleep(ctx, restartPause) {
+// restartExited restarts processes that have exited, as the platform does.
+func (s *soak) restartExited(ctx context.Context) {
+	for sleep(ctx, restartInterval) {
 		for _, p := range s.processes {
-			running, byItself := p.running()
+			running, unexpected := p.running()
 			if running {
 				continue
 			}
-			if byItself {
-				s.violate("process %s ended by itself, see %s", p.name, p.log)
+			if unexpected {
+				s.addViolation("process %s exited unexpectedly; its log is %s", p.name, p.logPath)
 			}
 			if err := p.start(); err != nil {
-				s.violate("process %s does not start: %v", p.name, err)
+				s.addViolation("process %s did not start: %v", p.name, err)
 			}
 		}
 	}
--- a/internal/rosesoak/process.go
+++ b/internal/rosesoak/process.go
@@ -17,49 +17,50 @@
 // graceTime is the time between SIGTERM and SIGKILL.
 const graceTime = 6 * time.Second
 
-// process is one rosemaryd, started again and again under one name.
+// process is one rosemaryd, which is restarted under the same name.
 type process struct {
-	name     string
-	zone     string
-	program  string
-	settings string
-	log      string
-	callers  string
-	store    *wire
+	name          string
+	zone          string
+	program       string
+	settingsPath  string
+	logPath       string
+	callerAddress string
+	storeRelay    *tcpRelay
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
-	// expected is set once the soak has sent a signal that ends the process.
-	expected bool
-	// harsh is set once it was killed or paused: what it owed may be lost.
-	harsh bool
+	exited  chan struct{}
+	// exitExpected is set once the soak has sent a signal that ends the process.
+	exitExpected bool
+	// disrupted is set once the process was killed or paused: responses under way
+	// may be lost.
+	disrupted bool
 }
 
 const (
-	// firstPort and lastPort are below the ports that the system gives to
-	// outgoing connections, which could take one while its process is down.
-	firstPort = 15000
-	lastPort  = 30000
-	// portTries bounds the ports that are tried.
-	portTries = 100
+	// minPort and maxPort lie below the system's range for outgoing connections,
+	// which could otherwise take the port of a process that is down.
+	minPort = 15000
+	maxPort = 30000
+	// maxPortAttempts bounds the random ports that freeAddress tries.
+	maxPortAttempts = 100
 )
 
 // freeAddress returns a loopback address that nothing listens on.
 func freeAddress() (string, error) {
-	var failure error
-	for range portTries {
-		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(lastPort-firstPort))
+	var lastErr error
+	for range maxPortAttempts {
+		address := fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(maxPort-minPort))
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
 			return address, trace.ConvertSystemError(listener.Close())
 		}
-		failure = err
+		lastErr = err
 	}
-	return "", trace.ConvertSystemError(failure)
+	return "", trace.ConvertSystemError(lastErr)
 }
 
-const settingsForm = `Name = %q
+const settingsTemplate = `Name = %q
 Zone = %q
 
 [Listen]
@@ -80,7 +81,7 @@
 GraceTime = %q
 `
 
-// newProcess writes the settings of a process that doesn't run yet.
+// newProcess writes the settings of a process without starting it.
 func newProcess(directory, program, name, zone, store, promoter string) (*process, error) {
 	var addresses []any
 	for range 4 {
@@ -90,84 +91,86 @@
 		}
 		addresses = append(addresses, address)
 	}
-	before, err := newWire(store)
+	relay, err := newTCPRelay(store)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
 	p := &process{
-		name: name, zone: zone, program: program, store: before, callers: addresses[0].(string),
-		settings: filepath.Join(directory, name+".toml"), log: filepath.Join(directory, name+".log"),
+		name: name, zone: zone, program: program, storeRelay: relay, callerAddress: addresses[0].(string),
+		settingsPath: filepath.Join(directory, name+".toml"), logPath: filepath.Join(directory, name+".log"),
 	}
 	values := append([]any{name, zone}, addresses...)
-	text := fmt.Sprintf(settingsForm, append(values, before.address(), promoter, graceTime.String())...)
-	return p, trace.ConvertSystemError(os.WriteFile(p.settings, []byte(text), 0o600))
+	text := fmt.Sprintf(settingsTemplate, append(values, relay.address(), promoter, graceTime.String())...)
+	return p, trace.ConvertSystemError(os.WriteFile(p.settingsPath, []byte(text), 0o600))
 }
 
-// start runs the process.
+// start starts the process; its output is appended to its log.
 func (p *process) start() error {
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	defer log.Close()
 	command := exec.Command(p.program, "-platform")
-	command.Env = append(os.Environ(), "ROSEMARY_SETTINGS="+p.settings)
+	command.Env = append(os.Environ(), "ROSEMARY_SETTINGS="+p.settingsPath)
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
-	p.command, p.ended, p.expected, p.harsh = command, ended, false, false
+	p.command, p.exited, p.exitExpected, p.disrupted = command, exited, false, false
 	p.mu.Unlock()
 	go func() {
 		_ = command.Wait()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the process that this soak started, if it runs.
+// signal sends a signal to the process if it has not exited.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return
 	default:
 	}
-	p.expected = p.expected || s == syscall.SIGTERM || s == syscall.SIGKILL
-	p.harsh = p.harsh || s == syscall.SIGKILL || s == syscall.SIGSTOP
+	p.exitExpected = p.exitExpected || s == syscall.SIGTERM || s == syscall.SIGKILL
+	p.disrupted = p.disrupted || s == syscall.SIGKILL || s == syscall.SIGSTOP
 	_ = p.command.Process.Signal(s)
 }
 
-// running reports whether the process runs, and whether it ended by itself.
-func (p *process) running() (running, byItself bool) {
+// running reports whether the process runs, and whether it exited without a
+// signal from the soak.
+func (p *process) running() (running, unexpected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.ended:
-		return false, !p.expected
+	case <-p.exited:
+		return false, !p.exitExpected
 	default:
 		return true, false
 	}
 }
 
-// owes reports whether an answer that this process owes must come.
-func (p *process) owes() bool {
+// mustAnswer reports whether the process has to answer every request it has
+// read.
+func (p *process) mustAnswer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.harsh
+	return !p.disrupted
 }
 
-// stop ends the process: by SIGTERM, and by SIGKILL after the grace.
+// stop ends the process with SIGTERM, and with SIGKILL after graceTime.
 func (p *process) stop() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGTERM)
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(graceTime):
 		p.signal(syscall.SIGKILL)
-		<-p.ended
+		<-p.exited
 	}
 }
--- a/internal/rosesoak/soak.go
+++ b/internal/rosesoak/soak.go
@@ -1,6 +1,6 @@
-// Package rosesoak runs real proxies as processes against the stand-ins, with
-// faults from outside, and checks the promises from what callers and targets
-// see.
+// Package rosesoak runs proxies as processes against a simulated platform,
+// injects faults from outside, and checks the proxies' guarantees by what clients
+// and targets observe.
 package rosesoak
 
 import (
@@ -20,48 +20,50 @@
 	"github.com/rosemarywell/rosemarywell/platform/rosestandin"
 )
 
-// loopback asks for a free address on this machine.
+// loopback makes the system choose a free port.
 const loopback = "127.0.0.1:0"
 
 const (
-	// replicaLag is how long replicas take to apply.
-	replicaLag = 60 * time.Millisecond
-	// workTime is how long a statement runs.
-	workTime = 3 * time.Millisecond
-	// promoteTime is how long a promotion takes.
-	promoteTime = 300 * time.Millisecond
-	// connections is the number that a target accepts.
-	connections = 22
-	// formTime is how long the installation has to form.
-	formTime = 6 * time.Second
-	// defaultBorderTime is the slack that a request's loss is judged with.
-	defaultBorderTime = 200 * time.Millisecond
-	// settleTime lets answers come after the last fault.
+	// replicaApplyDelay is how long replicas take to apply a record.
+	replicaApplyDelay = 60 * time.Millisecond
+	// statementDuration is how long a statement runs at a target.
+	statementDuration = 3 * time.Millisecond
+	// promoteDelay is how long a promotion takes.
+	promoteDelay = 300 * time.Millisecond
+	// maxConnections is the number of connections that a target accepts.
+	maxConnections = 22
+	// startupTime is how long the proxies have to find each other and the targets
+	// before load and faults begin.
+	startupTime               = 6 * time.Second
+	defaultIdleCloseTolerance = 200 * time.Millisecond
+	// settleTime lets outstanding answers arrive after the last fault.
 	settleTime = 3 * time.Second
 )
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// Config sets up a run.
+// Config configures a run.
 type Config struct {
 	// Program is the path of rosemaryd.
 	Program string
-	// Directory takes settings and logs.
+	// Directory receives the proxies' settings and logs.
 	Directory string
 	Seed      uint64
 	Duration  time.Duration
-	// ProxiesPerZone and Callers size the installation.
+	// ProxiesPerZone is the number of proxies in each of three zones.
 	ProxiesPerZone int
-	Callers        int
-	// BorderTime is how soon a connection that a proxy closes between two
-	// requests ends: the later request was never read. Zero means
-	// defaultBorderTime.
+	// Callers is the number of concurrent clients.
+	Callers int
+	// IdleCloseTolerance is how soon after sending a request a client may find its
+	// connection closed without a violation: the proxy closed it between two
+	// requests and never read the later one. Zero means
+	// defaultIdleCloseTolerance.
 	IdleCloseTolerance time.Duration
-	// Out is told of each fault; nil for nobody.
+	// Out receives a line for each fault and violation; nil discards them.
 	Out io.Writer
 }
 
-// Report is what a run saw.
+// Report is the result of a run. Outcomes counts writes by outcome.
 type Report struct {
 	Outcomes   map[string]int
 	Faults     int
@@ -85,18 +87,18 @@
 	report Report
 }
 
-// target is a stand-in's target behind a wire.
+// target is a simulated target behind a relay that injects faults.
 type target struct {
 	*rosestandin.Target
-	id   rosemary.TargetID
-	wire *wire
+	id    rosemary.TargetID
+	relay *tcpRelay
 }
 
-// Run plays one seed. The error is about the run itself; broken promises are in
-// the report.
+// Run runs one seed. The error is about the run itself; violations are in the
+// report.
 func Run(ctx context.Context, config Config) (Report, error) {
 	if config.IdleCloseTolerance == 0 {
-		config.IdleCloseTolerance = defaultBorderTime
+		config.IdleCloseTolerance = defaultIdleCloseTolerance
 	}
 	if config.Out == nil {
 		config.Out = io.Discard
@@ -106,57 +108,57 @@
 		report: Report{Outcomes: make(map[string]int)},
 	}
 	defer s.close()
-	if err := s.open(ctx); err != nil {
+	if err := s.start(ctx); err != nil {
 		return s.report, err
 	}
-	if !sleep(ctx, formTime) {
+	if !sleep(ctx, startupTime) {
 		return s.report, ctx.Err()
 	}
-	playing, cancel := context.WithTimeout(ctx, config.Duration)
+	faultsCtx, cancel := context.WithTimeout(ctx, config.Duration)
 	defer cancel()
-	callers, ended := context.WithCancel(ctx)
-	defer ended()
+	writersCtx, stopWriters := context.WithCancel(ctx)
+	defer stopWriters()
 	var tasks sync.WaitGroup
 	writers := make([]*writer, config.Callers)
 	for n := range writers {
 		writers[n] = &writer{soak: s, item: fmt.Sprint("i", n), random: rand.New(rand.NewPCG(config.Seed, uint64(n)+1))}
-		tasks.Go(func() { writers[n].run(callers) })
+		tasks.Go(func() { writers[n].run(writersCtx) })
 	}
-	s.play(playing)
+	s.injectFaults(faultsCtx)
 	sleep(ctx, settleTime)
-	ended()
+	stopWriters()
 	tasks.Wait()
 	for _, w := range writers {
-		w.judge()
+		w.checkOutcomes()
 	}
 	return s.report, nil
 }
 
-// open starts the stand-ins and the proxies.
-func (s *soak) open(ctx context.Context) error {
-	listed := make([]rosemary.Target, len(zones))
+// start starts the simulated platform and the proxies.
+func (s *soak) start(ctx context.Context) error {
+	targets := make([]rosemary.Target, len(zones))
 	for n, zone := range zones {
-		listed[n] = rosemary.Target{ID: rosemary.TargetID(fmt.Sprint("t-", n+1)), Zone: rosemary.Zone(zone)}
+		targets[n] = rosemary.Target{ID: rosemary.TargetID(fmt.Sprint("t-", n+1)), Zone: rosemary.Zone(zone)}
 	}
 	s.group = rosestandin.NewGroup(rosestandin.GroupConfig{
-		Name: rosestandin.GroupName, Targets: listed, ApplyDelay: replicaLag, StatementDuration: workTime, PromoteDelay: promoteTime, MaxConnections: connections,
+		Name: rosestandin.GroupName, Targets: targets, ApplyDelay: replicaApplyDelay, StatementDuration: statementDuration, PromoteDelay: promoteDelay, MaxConnections: maxConnections,
 	})
 	s.closers = append(s.closers, s.group.Close)
 	s.promoter = rosestandin.NewPromoter(s.group)
-	for _, l := range listed {
-		if err := s.serveTarget(ctx, l); err != nil {
+	for _, t := range targets {
+		if err := s.serveTarget(ctx, t); err != nil {
 			return err
 		}
 	}
-	store, err := s.serve(s.store.Handler())
+	store, err := s.serveHTTP(s.store.Handler())
 	if err != nil {
 		return err
 	}
-	promoter, err := s.serve(s.promoter.Handler())
+	promoter, err := s.serveHTTP(s.promoter.Handler())
 	if err != nil {
 		return err
 	}
-	rosestandin.PutConfiguration(s.store, 1, connections)
+	rosestandin.PutConfiguration(s.store, 1, maxConnections)
 	for n := range s.config.ProxiesPerZone * len(zones) {
 		p, err := newProcess(s.config.Directory, s.config.Program, fmt.Sprint("proxy-", n+1), zones[n%len(zones)], store, promoter)
 		if err != nil {
@@ -170,19 +172,20 @@
 	return nil
 }
 
-// serveTarget opens a target on an address that it keeps over restarts.
-func (s *soak) serveTarget(ctx context.Context, listed rosemary.Target) error {
+// serveTarget starts a target on an address that it keeps across restarts, and
+// registers it under the address of its relay.
+func (s *soak) serveTarget(ctx context.Context, registered rosemary.Target) error {
 	address, err := freeAddress()
 	if err != nil {
 		return err
 	}
-	before, err := newWire(address)
+	relay, err := newTCPRelay(address)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	s.closers = append(s.closers, before.close)
-	listed.Address = before.address()
-	t := &target{s.group.Target(listed.ID), listed.ID, before}
+	s.closers = append(s.closers, relay.close)
+	registered.Address = relay.address()
+	t := &target{s.group.Target(registered.ID), registered.ID, relay}
 	s.targets = append(s.targets, t)
 	opened := make(chan struct{})
 	first := true
@@ -201,13 +204,13 @@
 	})
 	<-opened
 	s.closers = append(s.closers, t.Close)
-	beating, cancel := context.WithCancel(ctx)
-	s.closers = append(s.closers, cancel)
-	s.tasks.Go(func() { rosestandin.RunHeartbeat(beating, s.store, t.Target, listed) })
+	heartbeatCtx, stopHeartbeat := context.WithCancel(ctx)
+	s.closers = append(s.closers, stopHeartbeat)
+	s.tasks.Go(func() { rosestandin.RunHeartbeat(heartbeatCtx, s.store, t.Target, registered) })
 	return nil
 }
 
-func (s *soak) serve(handler http.Handler) (string, error) {
+func (s *soak) serveHTTP(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return "", trace.ConvertSystemError(err)
@@ -218,7 +221,7 @@
 	return listener.Addr().String(), nil
 }
 
-// close ends what the run started.
+// close stops the proxies and the simulated platform.
 func (s *soak) close() {
 	var tasks sync.WaitGroup
 	for _, p := range s.processes {
@@ -226,7 +229,7 @@
 	}
 	tasks.Wait()
 	for _, p := range s.processes {
-		p.store.close()
+		p.storeRelay.close()
 	}
 	for n := len(s.closers) - 1; n >= 0; n-- {
 		s.closers[n]()
@@ -234,16 +237,16 @@
 	s.tasks.Wait()
 }
 
-// violate records a broken promise.
-func (s *soak) violate(format string, values ...any) {
+// addViolation records a violation of a guarantee.
+func (s *soak) addViolation(format string, values ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := fmt.Sprintf("%.2f s: ", time.Since(s.started).Seconds()) + fmt.Sprintf(format, values...)
 	s.report.Violations = append(s.report.Violations, text)
-	fmt.Fprintln(s.config.Out, "BROKEN", text)
+	fmt.Fprintln(s.config.Out, "VIOLATION", text)
 }
 
-func (s *soak) count(outcome string) {
+func (s *soak) countOutcome(outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.Outcomes[outcome]++
@@ -258,7 +261,7 @@
 	}
 }
 
-// NewDirectory returns a directory for a run's settings and logs.
+// NewDirectory creates a temporary directory for a run's settings and logs.
 func NewDirectory(seed uint64) (string, error) {
 	directory, err := os.MkdirTemp("", fmt.Sprintf("rosemary-soak-%d-", seed))
 	return directory, trace.ConvertSystemError(err)
--- a/internal/rosesoak/wire.go
+++ b/internal/rosesoak/wire.go
@@ -6,91 +6,93 @@
 	"time"
 )
 
-// mode is what a wire does with what passes.
-type mode int
+// relayMode is how a tcpRelay treats the bytes that it forwards.
+type relayMode int
 
 const (
-	// modePass passes everything on.
-	modePass mode = iota
-	// modeSilent holds everything back, both ways.
-	modeSilent
-	// modeDeaf holds back what comes from the far end.
-	modeDeaf
-	// modeSlow delays each chunk by slowTime.
-	modeSlow
+	// modeForward forwards both ways without delay.
+	modeForward relayMode = iota
+	// modeStall holds back both directions.
+	modeStall
+	// modeStallReplies holds back what upstream sends.
+	modeStallReplies
+	// modeDelay delays each chunk by chunkDelay.
+	modeDelay
 )
 
 const (
-	// slowTime is longer than a read's patience with one target.
-	slowTime = 450 * time.Millisecond
-	// chunkBytes is the size of one read.
+	// chunkDelay exceeds the 400 ms that a proxy waits for the first target of a
+	// read before it tries another.
+	chunkDelay = 450 * time.Millisecond
+	// chunkBytes is the size of the read buffer.
 	chunkBytes = 8 << 10
 )
 
-// wire is a loopback proxy before one address, with faults.
-type wire struct {
-	listener net.Listener
-	target   string
-	tasks    sync.WaitGroup
+// tcpRelay forwards TCP connections from a loopback address to another address
+// and injects faults.
+type tcpRelay struct {
+	listener        net.Listener
+	upstreamAddress string
+	tasks           sync.WaitGroup
 
 	mu      sync.Mutex
-	mode    mode
+	mode    relayMode
 	changed chan struct{}
 	conns   map[net.Conn]struct{}
 }
 
-func newWire(target string) (*wire, error) {
+func newTCPRelay(upstreamAddress string) (*tcpRelay, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
 	}
-	w := &wire{listener: listener, target: target, changed: make(chan struct{}), conns: make(map[net.Conn]struct{})}
-	w.tasks.Go(w.accept)
-	return w, nil
+	r := &tcpRelay{listener: listener, upstreamAddress: upstreamAddress, changed: make(chan struct{}), conns: make(map[net.Conn]struct{})}
+	r.tasks.Go(r.accept)
+	return r, nil
 }
 
-func (w *wire) address() string { return w.listener.Addr().String() }
+func (r *tcpRelay) address() string { return r.listener.Addr().String() }
 
-func (w *wire) accept() {
+func (r *tcpRelay) accept() {
 	for {
-		near, err := w.listener.Accept()
+		downstream, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", w.target)
+		upstream, err := net.Dial("tcp", r.upstreamAddress)
 		if err != nil {
-			// Refused there, refused here.
-			near.Close()
+			// Nothing listens upstream, so the client must see a failure too.
+			downstream.Close()
 			continue
 		}
-		w.track(near, far)
-		w.tasks.Go(func() { w.pump(far, near, false) })
-		w.tasks.Go(func() { w.pump(near, far, true) })
+		r.track(downstream, upstream)
+		r.tasks.Go(func() { r.forward(upstream, downstream, false) })
+		r.tasks.Go(func() { r.forward(downstream, upstream, true) })
 	}
 }
 
-func (w *wire) track(conns ...net.Conn) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *tcpRelay) track(conns ...net.Conn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, c := range conns {
-		w.conns[c] = struct{}{}
+		r.conns[c] = struct{}{}
 	}
 }
 
-// pump copies one way until either end closes.
-func (w *wire) pump(to, from net.Conn, fromFar bool) {
+// forward copies one way until either end closes.
+func (r *tcpRelay) forward(to, from net.Conn, fromUpstream bool) {
 	defer func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		r.mu.Lock()
+		defer r.mu.Unlock()
 		for _, c := range []net.Conn{to, from} {
 			c.Close()
-			delete(w.conns, c)
+			delete(r.conns, c)
 		}
 	}()
 	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buffer)
-		w.hold(fromFar)
+		r.waitForMode(fromUpstream)
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
@@ -102,17 +104,17 @@
 	}
 }
 
-// hold waits while the wire's mode holds back that way.
-func (w *wire) hold(fromFar bool) {
+// waitForMode blocks while the relay's mode holds back the given direction.
+func (r *tcpRelay) waitForMode(fromUpstream bool) {
 	for {
-		w.mu.Lock()
-		m, changed := w.mode, w.changed
-		w.mu.Unlock()
+		r.mu.Lock()
+		m, changed := r.mode, r.changed
+		r.mu.Unlock()
 		switch {
-		case m == modeSlow:
-			time.Sleep(slowTime)
+		case m == modeDelay:
+			time.Sleep(chunkDelay)
 			return
-		case m == modeSilent, m == modeDeaf && fromFar:
+		case m == modeStall, m == modeStallReplies && fromUpstream:
 			<-changed
 		default:
 			return
@@ -120,26 +122,26 @@
 	}
 }
 
-func (w *wire) set(m mode) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.mode = m
-	close(w.changed)
-	w.changed = make(chan struct{})
+func (r *tcpRelay) setMode(m relayMode) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.mode = m
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-// reset closes every connection.
-func (w *wire) reset() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for c := range w.conns {
+// closeConns closes every connection and keeps the listener open.
+func (r *tcpRelay) closeConns() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for c := range r.conns {
 		c.Close()
 	}
 }
 
-func (w *wire) close() {
-	w.listener.Close()
-	w.set(modePass)
-	w.reset()
-	w.tasks.Wait()
+func (r *tcpRelay) close() {
+	r.listener.Close()
+	r.setMode(modeForward)
+	r.closeConns()
+	r.tasks.Wait()
 }
--- a/internal/rosesoak/writer.go
+++ b/internal/rosesoak/writer.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// callPause separates a caller's requests.
-	callPause = 15 * time.Millisecond
-	// connectPause follows a connection that failed.
-	connectPause = 100 * time.Millisecond
-	// blockShare is the part of writes that are made in a transaction.
-	blockShare = 0.3
+	// requestInterval is the pause between the requests of a client.
+	requestInterval = 15 * time.Millisecond
+	// reconnectDelay is the pause after a failed attempt to connect.
+	reconnectDelay = 100 * time.Millisecond
+	// transactionShare is the share of writes made in an explicit transaction.
+	transactionShare = 0.3
 )
 
-// writer is one caller. It writes growing numbers to an item of its own and
-// reads them back in the same session, which it keeps until it breaks.
+// writer is one client. It writes increasing numbers to its own item and reads
+// them back in the same session, which it keeps until the connection is lost.
 type writer struct {
 	soak   *soak
 	item   string
 	random *rand.Rand
 
-	client   *rosestandin.Client
-	at       *process
-	number   int
-	acked    int
-	outcomes map[string]string
+	client    *rosestandin.Client
+	proxy     *process
+	sequence  int
+	lastAcked int
+	outcomes  map[string]string
 }
 
 func (w *writer) run(ctx context.Context) {
 	w.outcomes = make(map[string]string)
 	for ctx.Err() == nil {
 		if w.client == nil && !w.connect(ctx) {
-			sleep(ctx, connectPause)
+			sleep(ctx, reconnectDelay)
 			continue
 		}
 		w.write()
 		if w.client != nil {
-			w.read()
+			w.checkOwnRead()
 		}
-		sleep(ctx, callPause)
+		sleep(ctx, requestInterval)
 	}
 	if w.client != nil {
 		w.client.Close()
@@ -51,25 +51,26 @@
 }
 
 func (w *writer) connect(ctx context.Context) bool {
-	w.at = w.soak.processes[w.random.IntN(len(w.soak.processes))]
-	client, err := rosestandin.Dial(ctx, w.at.callers, rosestandin.ReadYourWritesRoute)
+	w.proxy = w.soak.processes[w.random.IntN(len(w.soak.processes))]
+	client, err := rosestandin.Dial(ctx, w.proxy.callerAddress, rosestandin.ReadYourWritesRoute)
 	if err != nil {
 		return false
 	}
-	w.client, w.acked = client, 0
+	w.client, w.lastAcked = client, 0
 	return true
 }
 
 // query runs one statement. A connection that ends without an answer is a
-// broken promise while its process shuts down in good order.
+// violation, even during a graceful shutdown, unless the proxy was killed or
+// paused, or closed the connection before it read the request.
 func (w *writer) query(id, text string) (rosestandin.Reply, bool) {
-	askedAt := time.Now()
+	sentAt := time.Now()
 	reply, err := w.client.Query(id, text)
 	if err == nil {
 		return reply, true
 	}
-	if took := time.Since(askedAt); took > w.soak.config.IdleCloseTolerance && w.at.owes() {
-		w.soak.violate("%s at %s got no whole answer: %v after %v", id, w.at.name, err, took)
+	if took := time.Since(sentAt); took > w.soak.config.IdleCloseTolerance && w.proxy.mustAnswer() {
+		w.soak.addViolation("request %s at %s got no complete answer: %v after %v", id, w.proxy.name, err, took)
 	}
 	w.client.Close()
 	w.client = nil
@@ -77,12 +78,12 @@
 }
 
 func (w *writer) write() {
-	w.number++
-	id := fmt.Sprintf("%s-%d", w.item, w.number)
-	text := fmt.Sprintf("WRITE %s %d", w.item, w.number)
-	if w.random.Float64() >= blockShare {
+	w.sequence++
+	id := fmt.Sprintf("%s-%d", w.item, w.sequence)
+	text := fmt.Sprintf("WRITE %s %d", w.item, w.sequence)
+	if w.random.Float64() >= transactionShare {
 		reply, ok := w.query(id, text)
-		w.note(id, outcome(reply, ok))
+		w.record(id, writeOutcome(reply, ok))
 		return
 	}
 	if reply, ok := w.query(id+"b", "BEGIN"); !ok || reply.Code != "" {
@@ -90,17 +91,17 @@
 	}
 	reply, ok := w.query(id, text)
 	if !ok || reply.Code != "" {
-		w.note(id, "ABORTED")
+		w.record(id, "ABORTED")
 		if ok {
 			w.query(id+"r", "ROLLBACK")
 		}
 		return
 	}
 	reply, ok = w.query(id+"c", "COMMIT")
-	w.note(id, outcome(reply, ok))
+	w.record(id, writeOutcome(reply, ok))
 }
 
-func outcome(reply rosestandin.Reply, ok bool) string {
+func writeOutcome(reply rosestandin.Reply, ok bool) string {
 	switch {
 	case !ok:
 		return "broken"
@@ -110,42 +111,43 @@
 	return "acked"
 }
 
-func (w *writer) note(id, outcome string) {
+func (w *writer) record(id, outcome string) {
 	w.outcomes[id] = outcome
-	w.soak.count(outcome)
+	w.soak.countOutcome(outcome)
 	if outcome == "acked" {
-		w.acked = w.number
+		w.lastAcked = w.sequence
 	}
 }
 
-// read checks that the session sees its own last write, unless a promotion has
-// rolled it back.
-func (w *writer) read() {
-	floor := w.acked
-	reply, ok := w.query(fmt.Sprintf("%s-%dq", w.item, w.number), "READ "+w.item)
-	if !ok || reply.Digest == "" || floor == 0 {
+// checkOwnRead checks that the session reads its own last write, unless a
+// failover has rolled it back.
+func (w *writer) checkOwnRead() {
+	acked := w.lastAcked
+	reply, ok := w.query(fmt.Sprintf("%s-%dq", w.item, w.sequence), "READ "+w.item)
+	if !ok || reply.Digest == "" || acked == 0 {
 		return
 	}
 	seen := 0
 	_, _ = fmt.Sscan(reply.Rows[0], &seen)
-	if seen < floor && w.soak.group.PrimaryHasWrite(fmt.Sprintf("%s-%d", w.item, floor)) {
-		w.soak.violate("%s read %d after %d was acknowledged", w.item, seen, floor)
+	if seen < acked && w.soak.group.PrimaryHasWrite(fmt.Sprintf("%s-%d", w.item, acked)) {
+		w.soak.addViolation("item %s was read as %d after the write of %d was acknowledged", w.item, seen, acked)
 	}
 }
 
-// judge compares what the caller was told with what the targets ran.
-func (w *writer) judge() {
+// checkOutcomes compares the outcomes reported to the client with the commits at
+// the targets.
+func (w *writer) checkOutcomes() {
 	for id, outcome := range w.outcomes {
-		runs := w.soak.group.CommitCount(id)
+		commits := w.soak.group.CommitCount(id)
 		switch {
-		case runs > 1:
-			w.soak.violate("%s (%s) took effect %d times", id, outcome, runs)
-		case rosestandin.NotApplied(outcome) && runs > 0:
-			w.soak.violate("%s was refused as %s and took effect", id, outcome)
-		case outcome == "acked" && runs == 0:
-			w.soak.violate("%s was acknowledged and never ran", id)
+		case commits > 1:
+			w.soak.addViolation("write %s (%s) was committed %d times", id, outcome, commits)
+		case rosestandin.NotApplied(outcome) && commits > 0:
+			w.soak.addViolation("write %s was refused as %s but committed", id, outcome)
+		case outcome == "acked" && commits == 0:
+			w.soak.addViolation("write %s was acknowledged but never committed", id)
 		case outcome == "acked" && w.soak.group.CommittedByStalePrimary(id):
-			w.soak.violate("%s was acknowledged by a replaced primary", id)
+			w.soak.addViolation("write %s was acknowledged but committed at a replaced primary", id)
 		}
 	}
 }
