--- a/cmd/rosemary/main.go
+++ b/cmd/rosemary/main.go
@@ -1,5 +1,5 @@
-// Command rosemary is the operators' program: it runs the demo and the load
-// tool, and drives bundles and proxies.
+// Command rosemary is the operators' tool. It manages bundles and proxies, and
+// runs the demo, the load tests and the soak test.
 package main
 
 import (
@@ -14,6 +14,6 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	environment := rosecommand.IOStreams{Out: os.Stdout, Err: os.Stderr}
-	os.Exit(rosecommand.Run(ctx, environment, os.Args[1:]))
+	streams := rosecommand.IOStreams{Out: os.Stdout, Err: os.Stderr}
+	os.Exit(rosecommand.Run(ctx, streams, os.Args[1:]))
 }
--- a/cmd/rosemaryd/main.go
+++ b/cmd/rosemaryd/main.go
@@ -1,4 +1,4 @@
-// Command rosemaryd is one proxy. It runs on each entry VM.
+// Command rosemaryd is the proxy daemon. One runs on each entry VM.
 package main
 
 import (
@@ -13,6 +13,6 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	environment := rosecommand.IOStreams{Out: os.Stdout, Err: os.Stderr}
-	os.Exit(rosecommand.RunDaemon(ctx, environment, os.Args[1:]))
+	streams := rosecommand.IOStreams{Out: os.Stdout, Err: os.Stderr}
+	os.Exit(rosecommand.RunDaemon(ctx, streams, os.Args[1:]))
 }
--- a/internal/rosecommand/admin.go
+++ b/internal/rosecommand/admin.go
@@ -16,75 +16,77 @@
 )
 
 const (
-	// adminTimeout bounds one request to a proxy.
+	// adminTimeout bounds one request to a proxy's admin address.
 	adminTimeout = 3 * time.Second
-	// moveTimeout bounds the move of a primary.
+	// moveTimeout bounds the request that moves a primary, which returns once the
+	// promotion is done.
 	moveTimeout = 15 * time.Second
-	// maxStateBytes bounds one proxy's state.
+	// maxStateBytes bounds the response body of a proxy.
 	maxStateBytes = 16 << 20
 )
 
-// adminFlag adds the flag that names the proxies' admin addresses.
+// adminFlag adds the -admin flag.
 func adminFlag(flags *flag.FlagSet) *string {
-	return flags.String("admin", "127.0.0.1:6434", "admin addresses of the proxies, joined by commas")
+	return flags.String("admin", "127.0.0.1:6434", "admin addresses of the proxies, separated by commas")
 }
 
-// proxyAnswer is the state of one proxy, or why there is none.
-type proxyAnswer struct {
+// stateReply is the state of one proxy, or the error of the request for it.
+type stateReply struct {
 	Address string
 	State   *rosedaemon.State `json:",omitempty"`
 	Error   string            `json:",omitempty"`
 }
 
-// askAll reads the state of every proxy.
-func askAll(ctx context.Context, addresses string) []proxyAnswer {
-	list := strings.Split(addresses, ",")
-	answers := make([]proxyAnswer, len(list))
+// fetchStates requests the state of all proxies concurrently. The addresses are
+// separated by commas.
+func fetchStates(ctx context.Context, addresses string) []stateReply {
+	addressList := strings.Split(addresses, ",")
+	replies := make([]stateReply, len(addressList))
 	var tasks errgroup.Group
-	for i, address := range list {
+	for i, address := range addressList {
 		tasks.Go(func() error {
-			answers[i].Address = address
+			replies[i].Address = address
 			var state rosedaemon.State
-			body, err := request(ctx, http.MethodGet, address, "/state", adminTimeout)
+			body, err := adminRequest(ctx, http.MethodGet, address, "/state", adminTimeout)
 			if err == nil {
 				err = json.Unmarshal(body, &state)
 			}
 			if err != nil {
-				answers[i].Error = trace.UserMessage(err)
+				replies[i].Error = trace.UserMessage(err)
 				return nil
 			}
-			answers[i].State = &state
+			replies[i].State = &state
 			return nil
 		})
 	}
 	_ = tasks.Wait()
-	return answers
+	return replies
 }
 
-func request(ctx context.Context, method, address, path string, timeout time.Duration) ([]byte, error) {
+func adminRequest(ctx context.Context, method, address, path string, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
-		return nil, usageError{trace.BadParameter("bad admin address %q", address)}
+		return nil, usageError{trace.BadParameter("invalid admin address %q", address)}
 	}
 	response, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "proxy at %s does not answer", address)
+		return nil, trace.ConnectionProblem(err, "no response from the proxy at %s", address)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxStateBytes))
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "the answer of %s was cut off", address)
+		return nil, trace.ConnectionProblem(err, "the response of the proxy at %s was truncated", address)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, trace.BadParameter("%s: %s", address, strings.TrimSpace(string(body)))
+		return nil, trace.BadParameter("proxy at %s: %s", address, strings.TrimSpace(string(body)))
 	}
 	return body, nil
 }
 
-func printJSON(environment IOStreams, value any) error {
-	encoder := json.NewEncoder(environment.Out)
+func printJSON(streams IOStreams, value any) error {
+	encoder := json.NewEncoder(streams.Out)
 	encoder.SetIndent("", "  ")
 	return trace.Wrap(encoder.Encode(value))
 }
--- a/internal/rosecommand/bundle.go
+++ b/internal/rosecommand/bundle.go
@@ -17,7 +17,7 @@
 )
 
 func init() {
-	register(command{"bundle", "key, new, check, sign, propose, show, diff and status of the configuration", runBundle})
+	register(command{"bundle", "create, sign, propose and inspect configuration bundles", runBundle})
 }
 
 // bundleCommands are the subcommands of bundle.
@@ -32,31 +32,32 @@
 	"status":  runBundleStatus,
 }
 
-func runBundle(ctx context.Context, environment IOStreams, args []string) error {
+func runBundle(ctx context.Context, streams IOStreams, args []string) error {
 	if len(args) > 0 {
 		if run := bundleCommands[args[0]]; run != nil {
-			return run(ctx, environment, args[1:])
+			return run(ctx, streams, args[1:])
 		}
 	}
 	return usageError{trace.BadParameter("usage: rosemary bundle key|new|check|sign|propose|show|diff|status")}
 }
 
-// storeFlags adds the flags that name the platform's store.
+// storeFlags adds the flags for the platform's store. The returned function opens
+// the store once the flags are parsed.
 func storeFlags(flags *flag.FlagSet) func() (rosemary.Store, error) {
-	address := flags.String("store", "", "host:port of the platform's key-value service")
-	prefix := flags.String("prefix", "", "prefix of the keys, as in the proxies' settings")
+	address := flags.String("store", "", "address (host:port) of the platform's key-value service")
+	prefix := flags.String("prefix", "", "prefix of the store's keys, as in the proxies' settings")
 	return func() (rosemary.Store, error) {
 		if *address == "" {
-			return nil, usageError{trace.BadParameter("name the platform's key-value service with -store")}
+			return nil, usageError{trace.BadParameter("-store is missing; give the address (host:port) of the platform's key-value service")}
 		}
-		return rosestore.NewClient(rosestore.Config{Address: *address, Prefix: *prefix, Dialer: netDialer{}}), nil
+		return rosestore.NewClient(rosestore.Config{Address: *address, Prefix: *prefix, Dialer: tcpDialer{}}), nil
 	}
 }
 
-// readSources reads TOML files as one bundle and checks them as a whole.
-func readSources(paths []string) (*rosebundle.Content, error) {
+// readContent reads TOML files as one bundle and validates it.
+func readContent(paths []string) (*rosebundle.Content, error) {
 	if len(paths) == 0 {
-		return nil, usageError{trace.BadParameter("name the TOML files of the bundle")}
+		return nil, usageError{trace.BadParameter("no files given; give the TOML files of the bundle")}
 	}
 	var texts []string
 	for _, path := range paths {
@@ -65,34 +66,35 @@
 			return nil, trace.ConvertSystemError(err)
 		}
 		if _, err := toml.Decode(string(text), &rosebundle.Content{}); err != nil {
-			return nil, usageError{trace.BadParameter("%s: %v; correct the TOML", path, err)}
+			return nil, usageError{trace.BadParameter("cannot parse %s as a bundle: %v; correct the TOML", path, err)}
 		}
 		texts = append(texts, string(text))
 	}
 	content, err := rosebundle.ParseContent(strings.Join(texts, "\n"))
-	var faults *rosebundle.ValidationError
-	if errors.As(err, &faults) {
-		return nil, usageError{fmt.Errorf("%s:\n%w", strings.Join(paths, ", "), faults)}
+	var invalid *rosebundle.ValidationError
+	if errors.As(err, &invalid) {
+		return nil, usageError{fmt.Errorf("%s:\n%w", strings.Join(paths, ", "), invalid)}
 	}
 	return content, err
 }
 
-func runBundleCheck(_ context.Context, environment IOStreams, args []string) error {
+func runBundleCheck(_ context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle check", flag.ContinueOnError)
-	if err := parse(flags, environment, args); err != nil {
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
-	content, err := readSources(flags.Args())
+	content, err := readContent(flags.Args())
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(environment.Out, "in order: %d databases, %d classes, %d tenants, %d operators\n",
+	fmt.Fprintf(streams.Out, "valid: %d databases, %d classes, %d tenants, %d operators\n",
 		len(content.Databases), len(content.Classes), len(content.Tenants), len(content.Operators))
 	return nil
 }
 
-// accepted returns the manifest in the store; a zero one if there is none.
-func accepted(ctx context.Context, store rosemary.Store) (rosebundle.Manifest, error) {
+// currentManifest returns the manifest in the store, or a zero one if the store
+// holds none.
+func currentManifest(ctx context.Context, store rosemary.Store) (rosebundle.Manifest, error) {
 	text, err := rosebundle.ReadCurrent(ctx, store)
 	if trace.IsNotFound(err) {
 		return rosebundle.Manifest{}, nil
@@ -110,7 +112,7 @@
 func readProposal(flags *flag.FlagSet) (rosebundle.Proposal, string, error) {
 	path := flags.Arg(0)
 	if path == "" {
-		return rosebundle.Proposal{}, "", usageError{trace.BadParameter("name the proposal file")}
+		return rosebundle.Proposal{}, "", usageError{trace.BadParameter("no proposal file given")}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -120,54 +122,55 @@
 	return p, path, err
 }
 
-func runBundlePropose(ctx context.Context, environment IOStreams, args []string) error {
+func runBundlePropose(ctx context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle propose", flag.ContinueOnError)
-	open := storeFlags(flags)
-	if err := parse(flags, environment, args); err != nil {
+	openStore := storeFlags(flags)
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
 	p, _, err := readProposal(flags)
 	if err != nil {
 		return err
 	}
-	store, err := open()
+	store, err := openStore()
 	if err != nil {
 		return err
 	}
 	if err := rosebundle.Propose(ctx, store, p); err != nil {
 		return err
 	}
-	fmt.Fprintf(environment.Out, "accepted version=%d digest=%s\n", p.Manifest.Version, p.Manifest.Digest())
+	fmt.Fprintf(streams.Out, "accepted version=%d digest=%s\n", p.Manifest.Version, p.Manifest.Digest())
 	return nil
 }
 
-// acceptedContent returns the manifest in the store and what it names.
-func acceptedContent(ctx context.Context, store rosemary.Store) (rosebundle.Manifest, *rosebundle.Content, error) {
-	m, err := accepted(ctx, store)
+// currentContent returns the manifest in the store and the content that it refers
+// to.
+func currentContent(ctx context.Context, store rosemary.Store) (rosebundle.Manifest, *rosebundle.Content, error) {
+	m, err := currentManifest(ctx, store)
 	if err != nil {
 		return m, nil, err
 	}
 	if m.Version == 0 {
-		return m, nil, trace.NotFound("the store holds no bundle; make the first with rosemary bundle new -first")
+		return m, nil, trace.NotFound("the store holds no bundle; create the first one with rosemary bundle new -first")
 	}
 	content, err := rosebundle.ReadContent(ctx, store, m)
 	return m, content, err
 }
 
-func runBundleShow(ctx context.Context, environment IOStreams, args []string) error {
+func runBundleShow(ctx context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle show", flag.ContinueOnError)
-	open := storeFlags(flags)
-	if err := parse(flags, environment, args); err != nil {
+	openStore := storeFlags(flags)
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
-	store, err := open()
+	store, err := openStore()
 	if err != nil {
 		return err
 	}
-	m, content, err := acceptedContent(ctx, store)
+	m, content, err := currentContent(ctx, store)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(environment.Out, "# version %d, digest %s\n", m.Version, m.Digest())
-	return trace.Wrap(toml.NewEncoder(environment.Out).Encode(content))
+	fmt.Fprintf(streams.Out, "# version %d, digest %s\n", m.Version, m.Digest())
+	return trace.Wrap(toml.NewEncoder(streams.Out).Encode(content))
 }
--- a/internal/rosecommand/bundle_diff.go
+++ b/internal/rosecommand/bundle_diff.go
@@ -9,49 +9,50 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-func runBundleDiff(ctx context.Context, environment IOStreams, args []string) error {
+func runBundleDiff(ctx context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle diff", flag.ContinueOnError)
-	open := storeFlags(flags)
-	if err := parse(flags, environment, args); err != nil {
+	openStore := storeFlags(flags)
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
-	next, err := readSources(flags.Args())
+	proposed, err := readContent(flags.Args())
 	if err != nil {
 		return err
 	}
-	store, err := open()
+	store, err := openStore()
 	if err != nil {
 		return err
 	}
-	_, now, err := acceptedContent(ctx, store)
+	_, current, err := currentContent(ctx, store)
 	if err != nil {
 		return err
 	}
-	for _, line := range diffLines(now, next) {
-		fmt.Fprintln(environment.Out, line)
+	for _, line := range diffLines(current, proposed) {
+		fmt.Fprintln(streams.Out, line)
 	}
 	return nil
 }
 
-// diffLines lists the lines that only one of two bundles has.
-func diffLines(now, next *rosebundle.Content) []string {
-	before, after := tomlLines(now), tomlLines(next)
+// diffLines lists the content lines that only one of two bundles has.
+func diffLines(current, proposed *rosebundle.Content) []string {
+	currentLines, proposedLines := contentLines(current), contentLines(proposed)
 	var lines []string
-	for _, l := range before {
-		if !slices.Contains(after, l) {
+	for _, l := range currentLines {
+		if !slices.Contains(proposedLines, l) {
 			lines = append(lines, "- "+l)
 		}
 	}
-	for _, l := range after {
-		if !slices.Contains(before, l) {
+	for _, l := range proposedLines {
+		if !slices.Contains(currentLines, l) {
 			lines = append(lines, "+ "+l)
 		}
 	}
 	return lines
 }
 
-// tomlLines returns the values of a bundle, each with the place it is at.
-func tomlLines(content *rosebundle.Content) []string {
+// contentLines returns one line for each entry of a bundle, prefixed with its
+// kind and name.
+func contentLines(content *rosebundle.Content) []string {
 	var lines []string
 	for _, d := range content.Databases {
 		lines = append(lines, fmt.Sprintf("database %s: Slots=%d Connections=%d", d.Name, d.Slots, d.Connections))
--- a/internal/rosecommand/bundle_key.go
+++ b/internal/rosecommand/bundle_key.go
@@ -12,14 +12,14 @@
 	"github.com/gravitational/trace"
 )
 
-func runBundleKey(_ context.Context, environment IOStreams, args []string) error {
+func runBundleKey(_ context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle key", flag.ContinueOnError)
-	out := flags.String("out", "", "file for the private key")
-	if err := parse(flags, environment, args); err != nil {
+	out := flags.String("out", "", "file to write the private key to")
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
 	if *out == "" {
-		return usageError{trace.BadParameter("name the file for the private key with -out")}
+		return usageError{trace.BadParameter("-out is missing; give the file to write the private key to")}
 	}
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -34,6 +34,6 @@
 	if _, err := file.WriteString(text); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	fmt.Fprintf(environment.Out, "PublicKey = %q\n", base64.StdEncoding.EncodeToString(public))
+	fmt.Fprintf(streams.Out, "PublicKey = %q\n", base64.StdEncoding.EncodeToString(public))
 	return nil
 }
--- a/internal/rosecommand/bundle_new.go
+++ b/internal/rosecommand/bundle_new.go
@@ -10,35 +10,35 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-func runBundleNew(ctx context.Context, environment IOStreams, args []string) error {
+func runBundleNew(ctx context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle new", flag.ContinueOnError)
-	open := storeFlags(flags)
-	out := flags.String("out", "proposal.json", "file for the proposal")
-	first := flags.Bool("first", false, "make the first bundle of a new installation")
-	if err := parse(flags, environment, args); err != nil {
+	openStore := storeFlags(flags)
+	out := flags.String("out", "proposal.json", "file to write the proposal to")
+	first := flags.Bool("first", false, "create the first bundle of a new installation")
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
-	content, err := readSources(flags.Args())
+	content, err := readContent(flags.Args())
 	if err != nil {
 		return err
 	}
 	parent := rosebundle.Manifest{}
 	if !*first {
-		store, err := open()
+		store, err := openStore()
 		if err != nil {
 			return err
 		}
-		if parent, err = accepted(ctx, store); err != nil {
+		if parent, err = currentManifest(ctx, store); err != nil {
 			return err
 		}
 		if parent.Version == 0 {
-			return trace.BadParameter("there is no bundle yet: make the first with -first")
+			return trace.BadParameter("the store holds no bundle; create the first one with -first")
 		}
-		now, err := rosebundle.ReadContent(ctx, store, parent)
+		current, err := rosebundle.ReadContent(ctx, store, parent)
 		if err != nil {
 			return err
 		}
-		if faults := rosebundle.CheckChange(now, content); len(faults) > 0 {
+		if faults := rosebundle.CheckChange(current, content); len(faults) > 0 {
 			return usageError{&rosebundle.ValidationError{Faults: faults}}
 		}
 	}
@@ -46,6 +46,6 @@
 	if err := writeProposal(*out, rosebundle.Proposal{Manifest: manifest, Parts: parts}); err != nil {
 		return err
 	}
-	fmt.Fprintf(environment.Out, "version=%d digest=%s proposal=%s\n", manifest.Version, manifest.Digest(), *out)
+	fmt.Fprintf(streams.Out, "version=%d digest=%s proposal=%s\n", manifest.Version, manifest.Digest(), *out)
 	return nil
 }
--- a/internal/rosecommand/bundle_sign.go
+++ b/internal/rosecommand/bundle_sign.go
@@ -12,11 +12,11 @@
 	"github.com/gravitational/trace"
 )
 
-func runBundleSign(_ context.Context, environment IOStreams, args []string) error {
+func runBundleSign(_ context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("bundle sign", flag.ContinueOnError)
-	operator := flags.String("operator", "", "name of the operator, as in the bundle in force")
+	operator := flags.String("operator", "", "name of the operator, as in the current bundle")
 	keyFile := flags.String("key", "", "file with the operator's private key")
-	if err := parse(flags, environment, args); err != nil {
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
 	p, path, err := readProposal(flags)
@@ -29,12 +29,12 @@
 	}
 	key, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(key) != ed25519.PrivateKeySize || *operator == "" {
-		return usageError{trace.BadParameter("give -operator, and with -key a file that rosemary bundle key made")}
+		return usageError{trace.BadParameter("-operator is missing, or -key is not a private key written by rosemary bundle key")}
 	}
 	p.Manifest = p.Manifest.WithSignature(*operator, key)
 	if err := writeProposal(path, p); err != nil {
 		return err
 	}
-	fmt.Fprintf(environment.Out, "version=%d digest=%s signatures=%d\n", p.Manifest.Version, p.Manifest.Digest(), len(p.Manifest.Signatures))
+	fmt.Fprintf(streams.Out, "version=%d digest=%s signatures=%d\n", p.Manifest.Version, p.Manifest.Digest(), len(p.Manifest.Signatures))
 	return nil
 }
--- a/internal/rosecommand/closed.go
+++ b/internal/rosecommand/closed.go
@@ -6,7 +6,8 @@
 	"net/http"
 )
 
-// isClosed reports whether a server ended because it was told to.
-func isClosed(err error) bool {
+// isServerClosed reports whether a server ended because it or its listener was
+// closed.
+func isServerClosed(err error) bool {
 	return errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed)
 }
--- a/internal/rosecommand/daemon.go
+++ b/internal/rosecommand/daemon.go
@@ -20,41 +20,41 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to anything.
+	// dialTimeout bounds the opening of any connection.
 	dialTimeout = 2 * time.Second
-	// balancerTime is how long a proxy that isn't ready any more still takes
-	// callers, until the balancer has noticed.
-	balancerTime = 2 * time.Second
-	// adminHeaderTimeout bounds the start of an operator's request.
+	// balancerDelay is how long a proxy that is no longer ready still accepts
+	// clients, since the load balancer takes a while to notice.
+	balancerDelay = 2 * time.Second
+	// adminHeaderTimeout bounds the reading of an HTTP request's header.
 	adminHeaderTimeout = 5 * time.Second
 )
 
-// netDialer opens connections over TCP.
-type netDialer struct{}
+// tcpDialer opens TCP connections.
+type tcpDialer struct{}
 
 // Dial opens a stream to address.
-func (netDialer) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (tcpDialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
 // RunDaemon runs a proxy until ctx ends, and returns the exit code.
-func RunDaemon(ctx context.Context, environment IOStreams, args []string) int {
-	return exitCode(environment, runDaemon(ctx, environment, args))
+func RunDaemon(ctx context.Context, streams IOStreams, args []string) int {
+	return exitCode(streams, runDaemon(ctx, streams, args))
 }
 
-func runDaemon(ctx context.Context, environment IOStreams, args []string) error {
+func runDaemon(ctx context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("rosemaryd", flag.ContinueOnError)
 	path := flags.String("settings", "/etc/rosemarywell/rosemaryd.toml", "settings file")
-	check := flags.Bool("check", false, "check the settings and exit")
-	onPlatform := flags.Bool("platform", false, "find targets and configuration in the platform's store")
-	verbosity := flags.Int("v", 0, "verbosity of the log")
-	if err := parse(flags, environment, args); err != nil {
+	check := flags.Bool("check", false, "check the settings file and exit")
+	onPlatform := flags.Bool("platform", false, "run on the platform, with targets and configuration from its store")
+	verbosity := flags.Int("v", 0, "log verbosity")
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
 	var level klog.Level
 	if err := level.Set(fmt.Sprint(*verbosity)); err != nil {
-		return usageError{trace.BadParameter("bad verbosity %d", *verbosity)}
+		return usageError{trace.BadParameter("invalid log verbosity %d", *verbosity)}
 	}
 	if *onPlatform && !*check {
 		return runVM(ctx, *path)
@@ -63,7 +63,7 @@
 		return usageError{err}
 	}
 	if *check {
-		fmt.Fprintln(environment.Out, "settings are in order")
+		fmt.Fprintln(streams.Out, "settings are valid")
 		return nil
 	}
 	settings, err := rosesettings.Load(*path)
@@ -78,7 +78,7 @@
 	return serveDaemon(ctx, daemon, settings)
 }
 
-// checkSettings returns the faults of a settings file.
+// checkSettings returns an error that lists what is wrong in a settings file.
 func checkSettings(path string, onPlatform bool) error {
 	if onPlatform {
 		_, err := rosesettings.LoadVM(path)
@@ -104,7 +104,7 @@
 	store := rosestore.NewClient(rosestore.Config{
 		Address: settings.Store.Address,
 		Prefix:  settings.Store.Prefix,
-		Dialer:  netDialer{},
+		Dialer:  tcpDialer{},
 	})
 	address := settings.Peers.Address
 	if address == "" {
@@ -114,7 +114,7 @@
 		Name:           rosemary.ProxyID(settings.Name),
 		Zone:           rosemary.Zone(settings.Zone),
 		Proxies:        settings.Proxies,
-		Dialer:         netDialer{},
+		Dialer:         tcpDialer{},
 		Keys:           keys,
 		TLS:            callerTLS,
 		RequireTLS:     settings.TLS.Required,
@@ -130,7 +130,7 @@
 	}), nil
 }
 
-// serveDaemon serves until ctx ends or an operator asks for a drain, and then
+// serveDaemon serves until ctx ends or an operator requests a drain, and then
 // shuts down gracefully.
 func serveDaemon(ctx context.Context, daemon *rosedaemon.Daemon, settings rosesettings.Settings) error {
 	var config net.ListenConfig
@@ -146,8 +146,8 @@
 	admin := &http.Server{Handler: daemon.Admin(), ReadHeaderTimeout: adminHeaderTimeout}
 	tasks := &errgroup.Group{}
 	tasks.Go(func() error { return daemon.Serve(listeners[0]) })
-	tasks.Go(func() error { return closedIsFine(daemon.ServePeers(listeners[1])) })
-	tasks.Go(func() error { return closedIsFine(admin.Serve(listeners[2])) })
+	tasks.Go(func() error { return ignoreClosed(daemon.ServePeers(listeners[1])) })
+	tasks.Go(func() error { return ignoreClosed(admin.Serve(listeners[2])) })
 	klog.InfoS("proxy started", "proxy", settings.Name, "zone", settings.Zone, "callers", listeners[0].Addr().String(),
 		"peers", listeners[1].Addr().String(), "admin", listeners[2].Addr().String())
 	select {
@@ -155,21 +155,21 @@
 	case <-daemon.DrainRequested:
 	}
 	daemon.MarkUnready()
-	time.Sleep(balancerTime)
+	time.Sleep(balancerDelay)
 	listeners[0].Close()
-	draining, cancel := context.WithTimeout(context.Background(), time.Duration(settings.Limits.DrainTime))
+	drainCtx, cancel := context.WithTimeout(context.Background(), time.Duration(settings.Limits.DrainTime))
 	defer cancel()
-	err := daemon.Drain(draining)
+	err := daemon.Drain(drainCtx)
 	listeners[1].Close()
 	_ = admin.Close()
-	if wait := tasks.Wait(); wait != nil {
-		return wait
+	if serveErr := tasks.Wait(); serveErr != nil {
+		return serveErr
 	}
 	return trace.Wrap(err)
 }
 
-func closedIsFine(err error) error {
-	if err == nil || trace.IsEOF(err) || isClosed(err) {
+func ignoreClosed(err error) error {
+	if err == nil || trace.IsEOF(err) || isServerClosed(err) {
 		return nil
 	}
 	return trace.Wrap(err)
--- a/internal/rosecommand/demo.go
+++ b/internal/rosecommand/demo.go
@@ -14,20 +14,20 @@
 )
 
 func init() {
-	register(command{"demo", "run targets and six proxies on this machine", runDemo})
+	register(command{"demo", "run simulated targets and six proxies on this machine", runDemo})
 }
 
-// demoStopTime bounds the graceful end of the demo.
-const demoStopTime = 10 * time.Second
+// demoDrainTimeout bounds the graceful shutdown of the demo's proxies.
+const demoDrainTimeout = 10 * time.Second
 
-func runDemo(ctx context.Context, environment IOStreams, args []string) error {
+func runDemo(ctx context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("demo", flag.ContinueOnError)
-	listen := flags.String("listen", "127.0.0.1:6432", "address of the first proxy; the others take the ports after it")
-	name := flags.String("deployment", "costa-rica", "costa-rica or guatemala")
-	span := flags.Duration("for", 0, "stop after this time; 0 runs until interrupted")
-	directory := flags.String("settings-dir", "", "run the stand-ins alone and write settings for rosemaryd there")
-	verbose := flags.Bool("v", false, "show the log lines of the proxies and the stand-ins")
-	if err := parse(flags, environment, args); err != nil {
+	listen := flags.String("listen", "127.0.0.1:6432", "address of the first proxy; the others use the ports after it")
+	name := flags.String("deployment", "costa-rica", "deployment to run: costa-rica or guatemala")
+	duration := flags.Duration("for", 0, "time after which the demo stops; 0 runs until interrupted")
+	directory := flags.String("settings-dir", "", "run only the simulated targets and store, and write settings for rosemaryd to this directory")
+	verbose := flags.Bool("v", false, "show the log of the proxies and the simulated servers")
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
 	if !*verbose {
@@ -52,36 +52,36 @@
 			return err
 		}
 	}
-	printDemo(environment, stack)
-	if *span > 0 {
+	printAddresses(streams, stack)
+	if *duration > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, *span)
+		ctx, cancel = context.WithTimeout(ctx, *duration)
 		defer cancel()
 	}
 	<-ctx.Done()
-	return stopDemo(stack)
+	return drainProxies(stack)
 }
 
-func printDemo(environment IOStreams, stack *rosestack.Stack) {
+func printAddresses(streams IOStreams, stack *rosestack.Stack) {
 	for _, p := range stack.Proxies {
-		fmt.Fprintf(environment.Out, "proxy=%s zone=%s address=%s admin=%s\n", p.Name, p.Zone, p.Address, p.AdminAddress)
+		fmt.Fprintf(streams.Out, "proxy=%s zone=%s address=%s admin=%s\n", p.Name, p.Zone, p.Address, p.AdminAddress)
 	}
 	for _, d := range stack.BundleContent.Databases {
 		for _, t := range d.Targets {
-			fmt.Fprintf(environment.Out, "target=%s database=%s zone=%s address=%s\n", t.ID, d.Name, t.Zone, t.Address)
+			fmt.Fprintf(streams.Out, "target=%s database=%s zone=%s address=%s\n", t.ID, d.Name, t.Zone, t.Address)
 		}
 	}
-	fmt.Fprintf(environment.Out, "store=%s\n", stack.PlatformAddress())
-	first := stack.BundleContent
+	fmt.Fprintf(streams.Out, "store=%s\n", stack.PlatformAddress())
+	content := stack.BundleContent
 	address := "none"
 	if len(stack.Proxies) > 0 {
 		address = stack.Proxies[0].Address
 	}
-	fmt.Fprintf(environment.Out, "ready address=%s database=%s user=%s\n", address, first.Databases[0].Name, first.Tenants[0].Name)
+	fmt.Fprintf(streams.Out, "ready address=%s database=%s user=%s\n", address, content.Databases[0].Name, content.Tenants[0].Name)
 }
 
-func stopDemo(stack *rosestack.Stack) error {
-	ctx, cancel := context.WithTimeout(context.Background(), demoStopTime)
+func drainProxies(stack *rosestack.Stack) error {
+	ctx, cancel := context.WithTimeout(context.Background(), demoDrainTimeout)
 	defer cancel()
 	for _, p := range stack.Proxies {
 		if err := p.Drain(ctx); err != nil {
--- a/internal/rosecommand/explain.go
+++ b/internal/rosecommand/explain.go
@@ -13,21 +13,21 @@
 )
 
 func init() {
-	register(command{"explain", "the story of one request, from the logs of several proxies", runExplain})
+	register(command{"explain", "print the timeline of one request from the logs of several proxies", runExplain})
 }
 
-// beliefTime is how long before a request changes of belief are shown: a
-// replacement of a primary takes about as long.
-const beliefTime = 3 * time.Second
+// defaultLookBack is how long before a request state changes are shown; a failover
+// takes about as long.
+const defaultLookBack = 3 * time.Second
 
-func runExplain(_ context.Context, environment IOStreams, args []string) error {
+func runExplain(_ context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("explain", flag.ContinueOnError)
-	before := flags.Duration("before", beliefTime, "show what proxies came to believe in this time before the request")
-	if err := parse(flags, environment, args); err != nil {
+	lookBack := flags.Duration("before", defaultLookBack, "show state changes of the proxies within this time before the request")
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
 	if flags.NArg() < 2 {
-		return usageError{trace.BadParameter("give a request's id and the log files of the proxies: rosemary explain ID FILE...")}
+		return usageError{trace.BadParameter("usage: rosemary explain [-before DURATION] ID FILE..., with a request's ID and the log files of the proxies")}
 	}
 	var logs []roseexplain.Log
 	for _, path := range flags.Args()[1:] {
@@ -37,11 +37,11 @@
 		}
 		logs = append(logs, log)
 	}
-	story, err := roseexplain.BuildTimeline(logs, flags.Arg(0), *before)
+	timeline, err := roseexplain.BuildTimeline(logs, flags.Arg(0), *lookBack)
 	if err != nil {
 		return err
 	}
-	return story.WriteText(environment.Out)
+	return timeline.WriteText(streams.Out)
 }
 
 func readLog(path string) (roseexplain.Log, error) {
--- a/internal/rosecommand/load.go
+++ b/internal/rosecommand/load.go
@@ -14,20 +14,20 @@
 )
 
 func init() {
-	register(command{"load", "run a deployment under load and faults, and check its history", runLoad})
+	register(command{"load", "run a deployment under load and faults, and check the recorded history", runLoad})
 }
 
-func runLoad(ctx context.Context, environment IOStreams, args []string) error {
+func runLoad(ctx context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("load", flag.ContinueOnError)
-	name := flags.String("deployment", "costa-rica", "costa-rica or guatemala")
-	span := flags.Duration("for", 20*time.Second, "time during which requests arrive")
-	seed := flags.Uint64("seed", 1, "seed of arrivals, sessions and faults")
-	rate := flags.Float64("rate", 0, "requests a second; 0 takes the default")
-	faults := flags.String("fault", "none", "faults joined by +: "+strings.Join(roseload.FaultNames(), ", "))
-	baseline := flags.String("baseline", "", "policy to compare with: primary-reads, fifo, even-split or acknowledge-on-primary")
-	runs := flags.Int("runs", 1, "runs with this seed and the next ones; above 1, prints a summary of all")
+	name := flags.String("deployment", "costa-rica", "deployment to run: costa-rica or guatemala")
+	duration := flags.Duration("for", 20*time.Second, "time during which requests arrive")
+	seed := flags.Uint64("seed", 1, "random seed of arrivals, sessions and faults")
+	rate := flags.Float64("rate", 0, "requests per second; 0 means the default")
+	faults := flags.String("fault", "none", "faults, separated by +: "+strings.Join(roseload.FaultNames(), ", "))
+	baseline := flags.String("baseline", "", "alternative policy to run for comparison: primary-reads, fifo, even-split or acknowledge-on-primary")
+	runs := flags.Int("runs", 1, "number of runs, with consecutive seeds; more than one print a summary")
 	format := flags.String("report", "json", "format of the report: json")
-	if err := parse(flags, environment, args); err != nil {
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
 	deployment, err := rosestack.FindDeployment(*name)
@@ -39,39 +39,39 @@
 		return usageError{err}
 	}
 	if *format != "json" {
-		return usageError{trace.BadParameter("no report format %q; use json", *format)}
+		return usageError{trace.BadParameter("unknown report format %q; use json", *format)}
 	}
 	config := roseload.Config{
 		Deployment: deployment,
-		Duration:   *span,
+		Duration:   *duration,
 		Seed:       *seed,
 		Rate:       *rate,
 		Faults:     roseload.SplitFaults(*faults),
 		Baseline:   policy,
-		Progress:   environment.Err,
+		Progress:   streams.Err,
 	}
 	if *runs > 1 {
-		return runSeeds(ctx, environment, config, *runs)
+		return runSeeds(ctx, streams, config, *runs)
 	}
 	report, err := roseload.Run(ctx, config)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := printJSON(environment, report); err != nil {
+	if err := printJSON(streams, report); err != nil {
 		return err
 	}
-	return brokenPromises(report.ViolationCount())
+	return violationsError(report.ViolationCount())
 }
 
-func brokenPromises(violations int) error {
+func violationsError(violations int) error {
 	if violations > 0 {
-		return trace.CompareFailed("the history breaks %d promises", violations)
+		return trace.CompareFailed("the recorded history contains %d violations", violations)
 	}
 	return nil
 }
 
-// runSeeds runs one seed after the other and prints a summary.
-func runSeeds(ctx context.Context, environment IOStreams, config roseload.Config, runs int) error {
+// runSeeds runs consecutive seeds one after the other and prints a summary.
+func runSeeds(ctx context.Context, streams IOStreams, config roseload.Config, runs int) error {
 	var reports []*roseload.Report
 	for range runs {
 		report, err := roseload.Run(ctx, config)
@@ -82,10 +82,10 @@
 		config.Seed++
 	}
 	summary := roseload.Summarize(reports)
-	if err := printJSON(environment, summary); err != nil {
+	if err := printJSON(streams, summary); err != nil {
 		return err
 	}
-	return brokenPromises(summary.Violations)
+	return violationsError(summary.Violations)
 }
 
 func findBaseline(name string) (rosedaemon.Baseline, error) {
@@ -101,5 +101,5 @@
 	case "acknowledge-on-primary":
 		return rosedaemon.Baseline{AcknowledgeOnPrimary: true}, nil
 	}
-	return rosedaemon.Baseline{}, trace.BadParameter("no baseline %q; use primary-reads, fifo, even-split or acknowledge-on-primary", name)
+	return rosedaemon.Baseline{}, trace.BadParameter("unknown baseline %q; use primary-reads, fifo, even-split or acknowledge-on-primary", name)
 }
--- a/internal/rosecommand/secret.go
+++ b/internal/rosecommand/secret.go
@@ -8,15 +8,15 @@
 )
 
 func init() {
-	register(command{"secret", "print a new key for TokenKeys", runSecret})
+	register(command{"secret", "generate a key for the TokenKeys setting", runSecret})
 }
 
-// secretBytes is the length of a token key.
+// secretBytes is the length of a token key in bytes.
 const secretBytes = 32
 
-func runSecret(_ context.Context, environment IOStreams, _ []string) error {
+func runSecret(_ context.Context, streams IOStreams, _ []string) error {
 	secret := make([]byte, secretBytes)
 	_, _ = rand.Read(secret)
-	fmt.Fprintln(environment.Out, base64.StdEncoding.EncodeToString(secret))
+	fmt.Fprintln(streams.Out, base64.StdEncoding.EncodeToString(secret))
 	return nil
 }
--- a/internal/rosecommand/soak.go
+++ b/internal/rosecommand/soak.go
@@ -14,48 +14,49 @@
 )
 
 func init() {
-	register(command{"soak", "real proxies as processes under faults, with their promises checked", runSoak})
+	register(command{"soak", "run proxies as processes under faults and check their guarantees", runSoak})
 }
 
-func runSoak(ctx context.Context, environment IOStreams, args []string) error {
+func runSoak(ctx context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("soak", flag.ContinueOnError)
-	seed := flags.Uint64("seed", 1, "the first seed")
-	runs := flags.Int("runs", 1, "the number of seeds")
-	span := flags.Duration("for", 20*time.Second, "how long each seed's faults last")
-	proxies := flags.Int("proxies", 2, "proxies in each of three zones")
-	callers := flags.Int("callers", 12, "callers")
-	program := flags.String("program", "", "path of rosemaryd; by default beside this program")
-	verbose := flags.Bool("v", false, "tell each fault")
-	if err := parse(flags, environment, args); err != nil {
+	seed := flags.Uint64("seed", 1, "first random seed")
+	runs := flags.Int("runs", 1, "number of runs, with consecutive seeds")
+	duration := flags.Duration("for", 20*time.Second, "time during which faults are injected, per run")
+	proxies := flags.Int("proxies", 2, "number of proxies in each of three zones")
+	callers := flags.Int("callers", 12, "number of concurrent clients")
+	program := flags.String("program", "", "path of rosemaryd; by default in the directory of this program")
+	verbose := flags.Bool("v", false, "print each fault and violation as it occurs")
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
 	if *program == "" {
-		own, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return trace.ConvertSystemError(err)
 		}
-		*program = filepath.Join(filepath.Dir(own), "rosemaryd")
+		*program = filepath.Join(filepath.Dir(executable), "rosemaryd")
 	}
-	broken := 0
+	violations := 0
 	for n := range *runs {
-		config := rosesoak.Config{Program: *program, Seed: *seed + uint64(n), Duration: *span, ProxiesPerZone: *proxies, Callers: *callers}
+		config := rosesoak.Config{Program: *program, Seed: *seed + uint64(n), Duration: *duration, ProxiesPerZone: *proxies, Callers: *callers}
 		if *verbose {
-			config.Out = environment.Out
+			config.Out = streams.Out
 		}
-		violations, err := soakOnce(ctx, environment, config)
+		found, err := runSoakSeed(ctx, streams, config)
 		if err != nil {
 			return err
 		}
-		broken += violations
+		violations += found
 	}
-	if broken > 0 {
-		return trace.CompareFailed("%d promises were broken", broken)
+	if violations > 0 {
+		return trace.CompareFailed("%d violations found", violations)
 	}
 	return nil
 }
 
-// soakOnce plays one seed. Settings and logs stay if a promise was broken.
-func soakOnce(ctx context.Context, environment IOStreams, config rosesoak.Config) (int, error) {
+// runSoakSeed runs one seed and returns the number of violations. Settings and
+// logs are kept if there are any.
+func runSoakSeed(ctx context.Context, streams IOStreams, config rosesoak.Config) (int, error) {
 	directory, err := rosesoak.NewDirectory(config.Seed)
 	if err != nil {
 		return 0, err
@@ -65,13 +66,13 @@
 	if err != nil {
 		return 0, err
 	}
-	fmt.Fprintf(environment.Out, "seed=%d faults=%d outcomes=%v broken=%d\n", config.Seed, report.Faults, report.Outcomes, len(report.Violations))
+	fmt.Fprintf(streams.Out, "seed=%d faults=%d outcomes=%v broken=%d\n", config.Seed, report.Faults, report.Outcomes, len(report.Violations))
 	if len(report.Violations) == 0 {
 		return 0, trace.ConvertSystemError(os.RemoveAll(directory))
 	}
 	for _, v := range report.Violations {
-		fmt.Fprintln(environment.Out, v)
+		fmt.Fprintln(streams.Out, v)
 	}
-	fmt.Fprintf(environment.Out, "logs=%s\n", directory)
+	fmt.Fprintf(streams.Out, "logs=%s\n", directory)
 	return len(report.Violations), nil
 }
--- a/internal/rosecommand/status.go
+++ b/internal/rosecommand/status.go
@@ -13,36 +13,36 @@
 )
 
 func init() {
-	register(command{"status", "what every proxy says of itself, its groups and its peers", runStatus})
+	register(command{"status", "show the state of every proxy, its groups and its peers", runStatus})
 }
 
-func runStatus(ctx context.Context, environment IOStreams, args []string) error {
+func runStatus(ctx context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("status", flag.ContinueOnError)
 	admin := adminFlag(flags)
-	asJSON := flags.Bool("json", false, "print JSON")
-	if err := parse(flags, environment, args); err != nil {
+	asJSON := flags.Bool("json", false, "print the status as JSON")
+	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
-	answers := askAll(ctx, *admin)
+	replies := fetchStates(ctx, *admin)
 	if *asJSON {
-		return printJSON(environment, answers)
+		return printJSON(streams, replies)
 	}
-	table := tabwriter.NewWriter(environment.Out, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(streams.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "PROXY\tZONE\tREADY\tCALLERS\tBUNDLE\tDATABASE\tTERM\tPRIMARY\tCONFIRMED\tTARGETS")
-	for _, a := range answers {
+	for _, a := range replies {
 		if a.State == nil {
 			fmt.Fprintf(table, "%s\t-\tfalse\t-\t-\t%s\n", a.Address, a.Error)
 			continue
 		}
 		for _, g := range a.State.Groups {
 			fmt.Fprintf(table, "%s\t%s\t%t\t%d\t%d\t%s\t%d\t%s\t%s\t%s\n", a.State.Name, a.State.Zone, a.State.Ready,
-				a.State.Callers, a.State.Bundle.Version, g.Database, g.Term, g.Primary, g.Confirmed, targetsLine(g))
+				a.State.Callers, a.State.Bundle.Version, g.Database, g.Term, g.Primary, g.Confirmed, formatTargets(g))
 		}
 	}
 	return trace.Wrap(table.Flush())
 }
 
-func targetsLine(g rosedaemon.GroupState) string {
+func formatTargets(g rosedaemon.GroupState) string {
 	var parts []string
 	for _, t := range g.Targets {
 		state := string(t.Role)
--- a/internal/rosecommand/verifier.go
+++ b/internal/rosecommand/verifier.go
@@ -13,19 +13,19 @@
 )
 
 func init() {
-	register(command{"verifier", "read a tenant's password and print its verifier", runVerifier})
+	register(command{"verifier", "read a tenant's password from standard input and print its verifier", runVerifier})
 }
 
-func runVerifier(_ context.Context, environment IOStreams, _ []string) error {
+func runVerifier(_ context.Context, streams IOStreams, _ []string) error {
 	line, err := bufio.NewReader(os.Stdin).ReadString('\n')
 	password := strings.TrimRight(line, "\r\n")
 	if password == "" {
-		return usageError{trace.BadParameter("write the password on standard input: %v", err)}
+		return usageError{trace.BadParameter("no password on standard input: %v", err)}
 	}
 	verifier, err := rosefront.NewVerifier(password)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(environment.Out, verifier)
+	fmt.Fprintln(streams.Out, verifier)
 	return nil
 }
--- a/internal/rosecommand/vm.go
+++ b/internal/rosecommand/vm.go
@@ -26,75 +26,78 @@
 )
 
 const (
-	// rotationTime is how long the balancer may go on sending callers to a
-	// proxy that isn't ready any more: two questions a second apart.
-	rotationTime = 2200 * time.Millisecond
-	// lastAnswerTime is left of the grace for answers under way.
-	lastAnswerTime = 300 * time.Millisecond
-	// collectPercent lets the heap grow to this share of what is live
-	// before a collection; live memory is small against the VM's.
-	collectPercent = 400
-	// memoryShare is the share of the VM's memory at which collections
-	// become frequent.
-	memoryShare = 0.7
-	// weightOfCore is the weight of a VM with a whole core.
-	weightOfCore = 1000
-	// linkSilence ends a connection whose peer acknowledges nothing.
-	linkSilence = 3 * time.Second
+	// vmBalancerDelay is how long the load balancer may still send clients to a
+	// proxy that is no longer ready: it needs two health checks, one second apart.
+	vmBalancerDelay = 2200 * time.Millisecond
+	// shutdownMargin is reserved at the end of the grace time for answers still
+	// being sent.
+	shutdownMargin = 300 * time.Millisecond
+	// gcPercent is how far the heap may grow over the live memory before the next
+	// collection. It is high since live memory is small compared to the VM's.
+	gcPercent = 400
+	// memoryLimitShare is the share of the VM's memory set as the soft memory
+	// limit, near which collections become frequent.
+	memoryLimitShare = 0.7
+	// weightPerCore is the weight of a VM with one core.
+	weightPerCore = 1000
+	// keepAliveIdle is how long a connection may be silent before keep-alive
+	// probes are sent; two unanswered ones end it.
+	keepAliveIdle = 3 * time.Second
 )
 
-// quickDialer opens connections that notice a silent peer.
-type quickDialer struct{}
+// keepAliveDialer opens TCP connections with short keep-alive times, to detect an
+// unresponsive peer early.
+type keepAliveDialer struct{}
 
 // Dial opens a stream to address.
-func (quickDialer) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (keepAliveDialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: linkSilence, Interval: time.Second, Count: 2,
+			Enable: true, Idle: keepAliveIdle, Interval: time.Second, Count: 2,
 		},
 	}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// runVM serves on the platform until ctx ends.
+// runVM runs a proxy on the platform until ctx ends.
 func runVM(ctx context.Context, path string) error {
 	settings, err := rosesettings.LoadVM(path)
 	if err != nil {
 		return usageError{err}
 	}
-	lines := roselog.NewWriter(os.Stdout)
-	go lines.Run()
-	defer lines.Flush()
+	logWriter := roselog.NewWriter(os.Stdout)
+	go logWriter.Run()
+	defer logWriter.Flush()
 	klog.LogToStderr(false)
-	klog.SetOutput(lines)
-	debug.SetGCPercent(collectPercent)
+	klog.SetOutput(logWriter)
+	debug.SetGCPercent(gcPercent)
 	if settings.Limits.MemoryMb > 0 {
-		debug.SetMemoryLimit(int64(float64(settings.Limits.MemoryMb<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(settings.Limits.MemoryMb<<20) * memoryLimitShare))
 	}
 	drainer := &drainer{}
-	node := newNode(settings, drainer.cutOff)
-	node.Metrics().TrackDroppedLogLines(lines.Dropped)
-	drainer.front = roseplatform.NewServer(node)
+	node := newNode(settings, drainer.setZonePartitioned)
+	node.Metrics().TrackDroppedLogLines(logWriter.Dropped)
+	drainer.server = roseplatform.NewServer(node)
 	return serveVM(ctx, path, settings, node, drainer)
 }
 
-func newNode(settings rosesettings.VMSettings, onCut func(bool)) *rosenode.Node {
-	store := roseplatform.NewStore(settings.Store.Address, quickDialer{})
+func newNode(settings rosesettings.VMSettings, onZonePartitioned func(bool)) *rosenode.Node {
+	store := roseplatform.NewStore(settings.Store.Address, keepAliveDialer{})
 	return rosenode.New(rosenode.Config{
 		Self: rosemary.Member{
 			Proxy: rosemary.ProxyID(settings.Name), Zone: rosemary.Zone(settings.Zone), Address: settings.Listen.Peers,
-			Weight: int(settings.Limits.CoreShare * weightOfCore),
+			Weight: int(settings.Limits.CoreShare * weightPerCore),
 		},
 		Incarnation:       strconv.FormatInt(time.Now().UnixNano(), 36),
 		Store:             store,
 		Targets:           roseplatform.TargetRegistry{Store: store},
 		Configurations:    roseplatform.ConfigurationStore{Store: store},
-		Promoter:          roseplatform.NewPromoter(settings.Promoter.Address, quickDialer{}),
-		TargetDialer:      roseplatform.TargetDialer{Dialer: quickDialer{}},
-		PeerDialer:        quickDialer{},
+		Promoter:          roseplatform.NewPromoter(settings.Promoter.Address, keepAliveDialer{}),
+		TargetDialer:      roseplatform.TargetDialer{Dialer: keepAliveDialer{}},
+		PeerDialer:        keepAliveDialer{},
 		Clock:             roseclock.BootTime{},
-		OnZonePartitioned: onCut,
+		OnZonePartitioned: onZonePartitioned,
 	})
 }
 
@@ -109,102 +112,104 @@
 		defer listener.Close()
 		listeners = append(listeners, listener)
 	}
-	running, stop := context.WithCancel(context.Background())
-	defer stop()
+	nodeCtx, stopNode := context.WithCancel(context.Background())
+	defer stopNode()
 	ready := &http.Server{Handler: roseplatform.ReadyHandler(node.Ready), ReadHeaderTimeout: adminHeaderTimeout}
 	admin := &http.Server{Handler: adminHandler(node), ReadHeaderTimeout: adminHeaderTimeout}
 	tasks := &errgroup.Group{}
-	tasks.Go(func() error { return drainer.front.Serve(listeners[0]) })
-	tasks.Go(func() error { return closedIsFine(ready.Serve(listeners[1])) })
-	tasks.Go(func() error { return closedIsFine(admin.Serve(listeners[2])) })
-	tasks.Go(func() error { return closedIsFine(node.ServePeers(listeners[3])) })
+	tasks.Go(func() error { return drainer.server.Serve(listeners[0]) })
+	tasks.Go(func() error { return ignoreClosed(ready.Serve(listeners[1])) })
+	tasks.Go(func() error { return ignoreClosed(admin.Serve(listeners[2])) })
+	tasks.Go(func() error { return ignoreClosed(node.ServePeers(listeners[3])) })
 	tasks.Go(func() error {
-		node.Run(running)
+		node.Run(nodeCtx)
 		return nil
 	})
-	go watchReload(running, path, settings)
+	go checkSettingsOnHangup(nodeCtx, path, settings)
 	klog.InfoS("proxy started", "proxy", settings.Name, "zone", settings.Zone, "callers", settings.Listen.Callers,
 		"store", settings.Store.Address)
 	<-ctx.Done()
 	shutDown(listeners[0], settings, node, drainer)
-	stop()
+	stopNode()
 	_ = ready.Close()
 	_ = admin.Close()
 	listeners[3].Close()
 	return tasks.Wait()
 }
 
-// drainer sends callers elsewhere: all of them at a shutdown, and resting ones
-// while the VM's zone is cut off.
+// drainer closes sessions so that clients reconnect to other proxies: all sessions
+// at a shutdown, and idle ones while the VM's zone is partitioned from the others.
 type drainer struct {
-	front *roseplatform.Server
+	server *roseplatform.Server
 
-	mu       sync.Mutex
-	stopping bool
+	mu           sync.Mutex
+	shuttingDown bool
 }
 
-// cutOff has resting callers connect again once the balancer has had time to
-// choose a proxy of another zone for them.
-func (d *drainer) cutOff(cut bool) {
+// setZonePartitioned closes idle sessions once the load balancer has had time to
+// send their clients to a proxy of another zone.
+func (d *drainer) setZonePartitioned(partitioned bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case d.stopping:
-	case cut:
-		d.front.SetDrain(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(rotationTime)})
+	case d.shuttingDown:
+	case partitioned:
+		d.server.SetDrain(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(vmBalancerDelay)})
 	default:
-		d.front.SetDrain(rosecaller.DrainDeadlines{})
+		d.server.SetDrain(rosecaller.DrainDeadlines{})
 	}
 }
 
-// stop begins the drain of a shutdown.
-func (d *drainer) stop(drain rosecaller.DrainDeadlines) {
+// beginShutdown drains the sessions for a shutdown. From then on a partition of
+// the zone changes nothing.
+func (d *drainer) beginShutdown(drain rosecaller.DrainDeadlines) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stopping = true
-	d.front.SetDrain(drain)
+	d.shuttingDown = true
+	d.server.SetDrain(drain)
 }
 
-// shutDown ends every session at a border, within the grace.
-func shutDown(callers net.Listener, settings rosesettings.VMSettings, node *rosenode.Node, drainer *drainer) {
-	front := drainer.front
+// shutDown closes idle sessions, then rolls back open transactions, and finally
+// closes all connections that are left, within the grace time.
+func shutDown(callerListener net.Listener, settings rosesettings.VMSettings, node *rosenode.Node, drainer *drainer) {
+	server := drainer.server
 	started := time.Now()
 	grace := time.Duration(settings.Limits.GraceTime)
-	klog.InfoS("proxy stopping", "proxy", settings.Name, "callers", front.Callers(), "grace", grace)
+	klog.InfoS("proxy stopping", "proxy", settings.Name, "callers", server.Callers(), "grace", grace)
 	node.BeginDrain()
-	idleFrom := started.Add(min(rotationTime, grace/3))
-	drain := rosecaller.DrainDeadlines{IdleSessions: idleFrom, OpenTransactions: started.Add(grace / 2)}
+	idleDeadline := started.Add(min(vmBalancerDelay, grace/3))
+	drain := rosecaller.DrainDeadlines{IdleSessions: idleDeadline, OpenTransactions: started.Add(grace / 2)}
 	node.SetDrain(drain)
-	drainer.stop(drain)
-	time.Sleep(time.Until(idleFrom))
-	callers.Close()
-	deadline := started.Add(grace - lastAnswerTime)
+	drainer.beginShutdown(drain)
+	time.Sleep(time.Until(idleDeadline))
+	callerListener.Close()
+	deadline := started.Add(grace - shutdownMargin)
 	done := make(chan struct{})
 	go func() {
 		ctx, cancel := context.WithDeadline(context.Background(), deadline)
 		defer cancel()
-		front.Wait()
+		server.Wait()
 		node.WaitRelayed(ctx)
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(time.Until(deadline)):
-		klog.InfoS("proxy stops with callers left", "callers", front.Callers())
-		front.Close()
+		klog.InfoS("proxy stops with callers left", "callers", server.Callers())
+		server.Close()
 	}
 	klog.InfoS("proxy stopped", "proxy", settings.Name, "took", time.Since(started))
 }
 
-// watchReload checks the settings file on SIGHUP. What it holds is bound to
-// the process: a change of it takes a restart.
-func watchReload(ctx context.Context, path string, settings rosesettings.VMSettings) {
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
-	defer signal.Stop(hangUps)
+// checkSettingsOnHangup checks the settings file on SIGHUP and logs the result. No
+// setting can change while the process runs; a change takes a restart.
+func checkSettingsOnHangup(ctx context.Context, path string, settings rosesettings.VMSettings) {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	for {
 		select {
-		case <-hangUps:
+		case <-hangups:
 		case <-ctx.Done():
 			return
 		}
