--- a/internal/rosecommand/daemon.go
+++ b/internal/rosecommand/daemon.go
@@ -81,7 +81,7 @@
 // checkSettings returns an error that lists what is wrong in a settings file.
 func checkSettings(path string, onPlatform bool) error {
 	if onPlatform {
-		_, err := rosesettings.LoadVM(path)
+		_, err := rosesettings.LoadPlatform(path)
 		return err
 	}
 	_, err := rosesettings.Load(path)
--- a/internal/rosecommand/vm.go
+++ b/internal/rosecommand/vm.go
@@ -62,7 +62,7 @@
 
 // runVM runs a proxy on the platform until ctx ends.
 func runVM(ctx context.Context, path string) error {
-	settings, err := rosesettings.LoadVM(path)
+	settings, err := rosesettings.LoadPlatform(path)
 	if err != nil {
 		return usageError{err}
 	}
@@ -82,7 +82,7 @@
 	return serveVM(ctx, path, settings, node, drainer)
 }
 
-func newNode(settings rosesettings.VMSettings, onZonePartitioned func(bool)) *rosenode.Node {
+func newNode(settings rosesettings.PlatformSettings, onZonePartitioned func(bool)) *rosenode.Node {
 	store := roseplatform.NewStore(settings.Store.Address, keepAliveDialer{})
 	return rosenode.New(rosenode.Config{
 		Self: rosemary.Member{
@@ -101,7 +101,7 @@
 	})
 }
 
-func serveVM(ctx context.Context, path string, settings rosesettings.VMSettings, node *rosenode.Node, drainer *drainer) error {
+func serveVM(ctx context.Context, path string, settings rosesettings.PlatformSettings, node *rosenode.Node, drainer *drainer) error {
 	var config net.ListenConfig
 	var listeners []net.Listener
 	for _, address := range []string{settings.Listen.Callers, settings.Listen.Ready, settings.Listen.Admin, settings.Listen.Peers} {
@@ -171,7 +171,7 @@
 
 // shutDown closes idle sessions, then rolls back open transactions, and finally
 // closes all connections that are left, within the grace time.
-func shutDown(callerListener net.Listener, settings rosesettings.VMSettings, node *rosenode.Node, drainer *drainer) {
+func shutDown(callerListener net.Listener, settings rosesettings.PlatformSettings, node *rosenode.Node, drainer *drainer) {
 	server := drainer.server
 	started := time.Now()
 	grace := time.Duration(settings.Limits.GraceTime)
@@ -203,7 +203,7 @@
 
 // checkSettingsOnHangup checks the settings file on SIGHUP and logs the result. No
 // setting can change while the process runs; a change takes a restart.
-func checkSettingsOnHangup(ctx context.Context, path string, settings rosesettings.VMSettings) {
+func checkSettingsOnHangup(ctx context.Context, path string, settings rosesettings.PlatformSettings) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -213,7 +213,7 @@
 		case <-ctx.Done():
 			return
 		}
-		reloaded, err := rosesettings.LoadVM(path)
+		reloaded, err := rosesettings.LoadPlatform(path)
 		klog.InfoS("settings read anew", "proxy", settings.Name, "sameListeners", reloaded.Listen == settings.Listen,
 			"sameStore", reloaded.Store == settings.Store, "err", roselog.Err(err))
 	}
--- a/internal/rosesettings/vm.go
+++ b/internal/rosesettings/vm.go
@@ -12,9 +12,9 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-// VMSettings holds the settings of a process whose targets and configuration are
+// PlatformSettings holds the settings of a process whose targets and configuration are
 // in the platform's store.
-type VMSettings struct {
+type PlatformSettings struct {
 	// Name identifies the proxy.
 	Name string
 	// Zone is the availability zone that the VM is in.
@@ -22,15 +22,15 @@
 	Region string
 	// Seeds are the admin addresses of some proxies; they may be outdated.
 	Seeds  []string
-	Listen VMListen
+	Listen PlatformListen
 	Store  Address
 	// Promoter is the service that replaces a primary on request.
 	Promoter Address
-	Limits   VMLimits
+	Limits   PlatformLimits
 }
 
-// VMListen holds the addresses that the process listens on.
-type VMListen struct {
+// PlatformListen holds the addresses that the process listens on.
+type PlatformListen struct {
 	// Callers is for applications.
 	Callers string
 	// Ready is for the readiness checks of the balancer.
@@ -46,8 +46,8 @@
 	Address string
 }
 
-// VMLimits describes the resources of the process.
-type VMLimits struct {
+// PlatformLimits describes the resources of the process.
+type PlatformLimits struct {
 	// CoreShare is the share of a CPU core that the process has. The proxy's
 	// weight in the choice of home proxies is proportional to it.
 	CoreShare float64
@@ -62,21 +62,21 @@
 // defaultGraceTime is the GraceTime that applies if the file sets none.
 const defaultGraceTime = rosebundle.Duration(6 * time.Second)
 
-// LoadVM reads and checks a settings file. The error is a
+// LoadPlatform reads and checks a settings file. The error is a
 // *rosebundle.ValidationError that lists every fault, or the error from reading
 // the file.
-func LoadVM(path string) (VMSettings, error) {
+func LoadPlatform(path string) (PlatformSettings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return VMSettings{}, trace.ConvertSystemError(err)
+		return PlatformSettings{}, trace.ConvertSystemError(err)
 	}
-	return ParseVM(string(text))
+	return ParsePlatform(string(text))
 }
 
-// ParseVM reads and checks the text of a settings file. Unknown keys are
+// ParsePlatform reads and checks the text of a settings file. Unknown keys are
 // ignored, as the platform's template may be newer than this program.
-func ParseVM(text string) (VMSettings, error) {
-	v := VMSettings{Limits: VMLimits{GraceTime: defaultGraceTime}}
+func ParsePlatform(text string) (PlatformSettings, error) {
+	v := PlatformSettings{Limits: PlatformLimits{GraceTime: defaultGraceTime}}
 	if _, err := toml.Decode(text, &v); err != nil {
 		return v, &rosebundle.ValidationError{Faults: []rosebundle.Fault{
 			{Key: "(file)", Problem: err.Error(), Remedy: "correct the TOML"},
@@ -89,7 +89,7 @@
 }
 
 // Check returns all faults of the settings.
-func (v VMSettings) Check() []rosebundle.Fault {
+func (v PlatformSettings) Check() []rosebundle.Fault {
 	var faults []rosebundle.Fault
 	add := func(invalid bool, key, problem, remedy string) {
 		if invalid {
