--- a/internal/rosedaemon/admin.go
+++ b/internal/rosedaemon/admin.go
@@ -147,7 +147,7 @@
 		Zone:     d.config.Zone,
 		Ready:    d.Ready(),
 		Draining: d.server.Draining(),
-		Callers:  d.server.Callers(),
+		Callers:  d.server.ClientCount(),
 		Bundle:   BundleState{Version: manifest.Version, Digest: manifest.Digest(), Since: since},
 	}
 	if err := d.updater.LastError(); err != nil {
--- a/internal/rosedaemon/bench_test.go
+++ b/internal/rosedaemon/bench_test.go
@@ -48,7 +48,7 @@
 	c.Assert(err, qt.IsNil)
 	const count = 500
 	for b.Loop() {
-		daemon := rosedaemon.New(rosedaemon.Config{Name: "p", Zone: "a", Proxies: 6, Dialer: unresponsiveDialer{}, Keys: keys})
+		daemon := rosedaemon.New(rosedaemon.Config{Name: "p", Zone: "a", Proxies: 6, Dialer: unresponsiveDialer{}, TokenKeys: keys})
 		before := usedMemory()
 		daemon.Apply(newContent(count))
 		time.Sleep(time.Second)
--- a/internal/rosedaemon/daemon.go
+++ b/internal/rosedaemon/daemon.go
@@ -41,10 +41,10 @@
 	// Proxies is the number of proxies that share the targets' connections.
 	Proxies        int
 	Dialer         rosemary.Dialer
-	Keys           *rosesession.Keys
+	TokenKeys      *rosesession.Keys
 	TLS            *tls.Config
 	RequireTLS     bool
-	MaxCallers     int
+	MaxClients     int
 	TargetUser     string
 	TargetPassword string
 	// PeerAddress is where peers reach this proxy; empty runs it without peers.
@@ -105,10 +105,10 @@
 	d.server = rosefront.NewServer(rosefront.Config{
 		Directory:            d,
 		Metrics:              d.metrics,
-		Keys:                 config.Keys,
+		TokenKeys:            config.TokenKeys,
 		TLS:                  config.TLS,
 		RequireTLS:           config.RequireTLS,
-		MaxCallers:           config.MaxCallers,
+		MaxClients:           config.MaxClients,
 		ForwardCancel:        d.mesh.ForwardCancel,
 		AcknowledgeOnPrimary: config.Baseline.AcknowledgeOnPrimary,
 	})
@@ -224,8 +224,8 @@
 	return !d.unready && !d.server.Draining() && len(d.backends) > 0
 }
 
-// Peers returns the number of linked peers.
-func (d *Daemon) Peers() int { return len(d.mesh.LinkedPeers()) }
+// LinkedPeerCount returns the number of linked peers.
+func (d *Daemon) LinkedPeerCount() int { return len(d.mesh.LinkedPeers()) }
 
 // MarkUnready makes the readiness check fail, so that the load balancer sends
 // clients to other proxies.
@@ -240,9 +240,9 @@
 func (d *Daemon) Drain(ctx context.Context) error {
 	started := time.Now()
 	d.mesh.Leave()
-	klog.InfoS("drain begins", "proxy", d.config.Name, "callers", d.server.Callers())
+	klog.InfoS("drain begins", "proxy", d.config.Name, "callers", d.server.ClientCount())
 	err := d.server.Drain(ctx)
-	klog.InfoS("drain ended", "proxy", d.config.Name, "took", time.Since(started), "left", d.server.Callers())
+	klog.InfoS("drain ended", "proxy", d.config.Name, "took", time.Since(started), "left", d.server.ClientCount())
 	return trace.Wrap(err)
 }
 
--- a/internal/rosefront/caller.go
+++ b/internal/rosefront/caller.go
@@ -79,7 +79,7 @@
 		c.backend.Send(&pgproto3.ParameterStatus{Name: p[0], Value: p[1]})
 	}
 	c.backend.Send(&pgproto3.ParameterStatus{Name: settingSession, Value: c.session.Name})
-	c.token = c.server.config.Keys.Sign(c.session)
+	c.token = c.server.config.TokenKeys.Sign(c.session)
 	c.backend.Send(&pgproto3.ParameterStatus{Name: settingToken, Value: c.token})
 	c.backend.Send(&pgproto3.BackendKeyData{ProcessID: c.pid, SecretKey: binary.BigEndian.AppendUint32(nil, c.secret)})
 	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
--- a/internal/rosefront/handshake_test.go
+++ b/internal/rosefront/handshake_test.go
@@ -46,7 +46,7 @@
 	qt.New(t).Assert(err, qt.IsNil)
 	keys, err := rosesession.NewKeys([]byte("a key that is long enough"))
 	qt.New(t).Assert(err, qt.IsNil)
-	config := rosefront.Config{Directory: directory{verifier}, Keys: keys, MaxCallers: 10}
+	config := rosefront.Config{Directory: directory{verifier}, TokenKeys: keys, MaxClients: 10}
 	change(&config)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.New(t).Assert(err, qt.IsNil)
@@ -111,7 +111,7 @@
 
 func TestConnectionLimit(t *testing.T) {
 	c := qt.New(t)
-	address := serve(t, func(config *rosefront.Config) { config.MaxCallers = 1 })
+	address := serve(t, func(config *rosefront.Config) { config.MaxClients = 1 })
 	idle, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
 	defer idle.Close()
--- a/internal/rosefront/request.go
+++ b/internal/rosefront/request.go
@@ -104,7 +104,7 @@
 
 func (r *request) resolveClass() (rosemary.Class, error) {
 	c := r.client
-	standard := rosemary.DefaultClass(c.server.config.DefaultDeadline)
+	standard := rosemary.DefaultClass(c.server.config.DefaultTimeout)
 	if c.lease != nil {
 		return c.transactionClass, nil
 	}
@@ -198,7 +198,7 @@
 // transaction status.
 func (r *request) sendReady() {
 	c := r.client
-	if token := c.server.config.Keys.Sign(c.session); token != c.token {
+	if token := c.server.config.TokenKeys.Sign(c.session); token != c.token {
 		c.token = token
 		r.answer.send(&pgproto3.ParameterStatus{Name: settingToken, Value: token})
 	}
--- a/internal/rosefront/server.go
+++ b/internal/rosefront/server.go
@@ -51,19 +51,19 @@
 // Config configures a Server.
 type Config struct {
 	Directory Directory
-	Keys      *rosesession.Keys
+	TokenKeys *rosesession.Keys
 	// TLS is the configuration of encrypted connections; nil disables
 	// encryption.
 	TLS *tls.Config
 	// RequireTLS refuses clients without encryption.
 	RequireTLS bool
 	// MaxCallers bounds the client connections; zero means no limit.
-	MaxCallers int
+	MaxClients int
 	// MaxMessageBytes bounds one message from a client; zero means 16 MiB.
 	MaxMessageBytes int
 	// DefaultDeadline applies to requests without a class and to classes
 	// without a deadline; zero means 10 s.
-	DefaultDeadline time.Duration
+	DefaultTimeout time.Duration
 	// AcknowledgeOnPrimary answers a write as soon as the primary has it,
 	// without waiting for a quorum. It is unsafe; the load tool uses it as the
 	// baseline whose lost writes its checks must detect.
@@ -93,8 +93,8 @@
 	if config.MaxMessageBytes == 0 {
 		config.MaxMessageBytes = defaultMaxMessageBytes
 	}
-	if config.DefaultDeadline == 0 {
-		config.DefaultDeadline = 10 * time.Second
+	if config.DefaultTimeout == 0 {
+		config.DefaultTimeout = 10 * time.Second
 	}
 	if config.Metrics == nil {
 		config.Metrics = NewMetrics()
@@ -129,7 +129,7 @@
 	defer conn.Close()
 	open := s.connections.Add(1)
 	defer s.connections.Add(-1)
-	overLimit := s.config.MaxCallers > 0 && open > int64(s.config.MaxCallers)
+	overLimit := s.config.MaxClients > 0 && open > int64(s.config.MaxClients)
 	c, err := s.handshake(conn, overLimit)
 	if err != nil {
 		klog.V(1).InfoS("handshake ended", "remote", conn.RemoteAddr().String(), "err", err)
@@ -177,8 +177,8 @@
 	return true
 }
 
-// Callers returns the number of connected clients.
-func (s *Server) Callers() int {
+// ClientCount returns the number of connected clients.
+func (s *Server) ClientCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.clients)
--- a/internal/rosefront/settings.go
+++ b/internal/rosefront/settings.go
@@ -55,7 +55,7 @@
 func (c *client) set(name, value string) error {
 	switch name {
 	case settingToken:
-		session, err := c.server.config.Keys.Verify(value, c.tenant.Name, c.session.Database)
+		session, err := c.server.config.TokenKeys.Verify(value, c.tenant.Name, c.session.Database)
 		if err != nil {
 			return err
 		}
@@ -105,7 +105,7 @@
 func (c *client) show(name string) (string, error) {
 	switch name {
 	case settingToken:
-		return c.server.config.Keys.Sign(c.session), nil
+		return c.server.config.TokenKeys.Sign(c.session), nil
 	case settingSession:
 		return c.session.Name, nil
 	case settingClass:
--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -120,7 +120,7 @@
 func (s *Stack) awaitReady(ctx context.Context) error {
 	const poll = 10 * time.Millisecond
 	for _, p := range s.Proxies {
-		for !p.Daemon.Ready() || p.Daemon.Peers() < len(s.Proxies)-1 {
+		for !p.Daemon.Ready() || p.Daemon.LinkedPeerCount() < len(s.Proxies)-1 {
 			time.Sleep(poll)
 			if ctx.Err() != nil {
 				return trace.ConnectionProblem(ctx.Err(), "proxy %s did not become ready", p.Name)
@@ -246,7 +246,7 @@
 		Zone:         rosemary.Zone(p.Zone),
 		Proxies:      d.Proxies,
 		Dialer:       dialer,
-		Keys:         s.keys,
+		TokenKeys:    s.keys,
 		TargetUser:   "rosemary",
 		PeerAddress:  p.peerListener.Addr().String(),
 		Store:        p.store,
