--- a/internal/roseload/check.go
+++ b/internal/roseload/check.go
@@ -57,7 +57,7 @@
 // readSurvivingLog reads the log of the target with the highest position.
 func (r *run) readSurvivingLog(database string) *survivingLog {
 	var newest *rosetarget.Target
-	for _, t := range r.stack.Clusters[database].Targets() {
+	for _, t := range r.stack.Groups[database].Targets() {
 		if newest == nil || t.Status().Position.Compare(newest.Status().Position) > 0 {
 			newest = t
 		}
@@ -75,7 +75,7 @@
 		switch put.Table {
 		case m.table:
 			value, _ := strconv.ParseInt(put.Fields[m.versionField], 10, 64)
-			sl.set(put.Fields[0], value, record.At)
+			sl.set(put.Fields[0], value, record.CommittedAt)
 			sets = append(sets, "tx-"+put.Fields[m.versionField])
 		case m.insertTable:
 			id := put.Fields[0]
--- a/internal/roseload/fault_replicas.go
+++ b/internal/roseload/fault_replicas.go
@@ -17,7 +17,7 @@
 
 // injectReplicaLag delays replication to one replica of every database.
 func injectReplicaLag(_ context.Context, f *injector) {
-	for _, cluster := range f.run.stack.Clusters {
+	for _, cluster := range f.run.stack.Groups {
 		for _, t := range cluster.Targets() {
 			if status := t.Status(); !status.LeadsTerm() {
 				t.SetLag(replicaLag)
@@ -28,7 +28,7 @@
 }
 
 func healReplicaLag(f *injector) {
-	for _, cluster := range f.run.stack.Clusters {
+	for _, cluster := range f.run.stack.Groups {
 		for _, t := range cluster.Targets() {
 			t.SetLag(0)
 		}
@@ -38,7 +38,7 @@
 // injectStalledConnections permanently stalls all open connections of a random
 // target, three times.
 func injectStalledConnections(ctx context.Context, f *injector) {
-	targets := f.run.stack.Clusters[f.database()].Targets()
+	targets := f.run.stack.Groups[f.database()].Targets()
 	for range 3 {
 		i := f.randomInt(len(targets))
 		for id := range targets {
--- a/internal/roseload/faults.go
+++ b/internal/roseload/faults.go
@@ -133,7 +133,7 @@
 func (f *injector) primary() *rosetarget.Target {
 	var primary *rosetarget.Target
 	term := uint64(0)
-	for _, t := range f.run.stack.Clusters[f.database()].Targets() {
+	for _, t := range f.run.stack.Groups[f.database()].Targets() {
 		if status := t.Status(); status.LeadsTerm() && status.Term > term {
 			primary, term = t, status.Term
 		}
@@ -145,7 +145,7 @@
 // identifier.
 func (f *injector) replicas() []*rosetarget.Target {
 	var replicas []*rosetarget.Target
-	for _, t := range f.run.stack.Clusters[f.database()].Targets() {
+	for _, t := range f.run.stack.Groups[f.database()].Targets() {
 		if t.Status().Role == rosemary.RoleReplica {
 			replicas = append(replicas, t)
 		}
--- a/internal/rosestack/bench_test.go
+++ b/internal/rosestack/bench_test.go
@@ -90,7 +90,7 @@
 	ctx := context.Background()
 	proxied := connect(c, stack, 0, nil)
 	defer proxied.Close(ctx)
-	replica := stack.Clusters["licencias1"].Target(rosemary.TargetID("licencias1-2"))
+	replica := stack.Groups["licencias1"].Target(rosemary.TargetID("licencias1-2"))
 	dialer := stack.Network.Dialer(rosenet.Host{Name: "direct", Zone: rosestack.CallerZone})
 	direct, err := rosestack.Connect(ctx, dialer, replica.Address(), rosestack.CallerConfig{Tenant: "direct", Database: "licencias1"})
 	c.Assert(err, qt.IsNil)
--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -38,7 +38,7 @@
 type Stack struct {
 	Config        Config
 	Network       *rosenet.Network
-	Clusters      map[string]*rosetarget.Cluster
+	Groups        map[string]*rosetarget.Group
 	Proxies       []*Proxy
 	BundleContent *rosebundle.Content
 	// Platform simulates the platform's key-value service and VM list.
@@ -74,9 +74,9 @@
 func Start(ctx context.Context, config Config) (*Stack, error) {
 	deployment := config.Deployment
 	s := &Stack{
-		Config:   config,
-		Network:  rosenet.NewNetwork(rosenet.Config{Delay: deployment.delay, InMemory: config.InMemory}),
-		Clusters: make(map[string]*rosetarget.Cluster),
+		Config:  config,
+		Network: rosenet.NewNetwork(rosenet.Config{Delay: deployment.delay, InMemory: config.InMemory}),
+		Groups:  make(map[string]*rosetarget.Group),
 	}
 	keys, err := rosesession.NewKeys([]byte(demoTokenKey))
 	if err != nil {
@@ -176,8 +176,8 @@
 				ScanTime:       d.ScanTime,
 			})
 		}
-		cluster := rosetarget.NewCluster(s.Network, configs)
-		s.Clusters[name] = cluster
+		cluster := rosetarget.NewGroup(s.Network, configs)
+		s.Groups[name] = cluster
 		for _, c := range configs {
 			if err := cluster.Target(c.ID).Start(); err != nil {
 				return trace.Wrap(err)
@@ -197,7 +197,7 @@
 			id := fmt.Sprintf("%s-%d", name, j+1)
 			database.Targets = append(database.Targets, rosebundle.Target{
 				ID:      id,
-				Address: s.Clusters[name].Target(rosemary.TargetID(id)).Address(),
+				Address: s.Groups[name].Target(rosemary.TargetID(id)).Address(),
 				Zone:    d.Zones[(i+j)%len(d.Zones)],
 			})
 		}
@@ -210,7 +210,7 @@
 func (s *Stack) createTables(ctx context.Context, name string) error {
 	d := s.Config.Deployment
 	id := rosemary.TargetID(name + "-1")
-	target := rosemary.Target{ID: id, Address: s.Clusters[name].Target(id).Address()}
+	target := rosemary.Target{ID: id, Address: s.Groups[name].Target(id).Address()}
 	dialer := s.Network.Dialer(rosenet.Host{Name: "setup", Zone: d.Zones[0]})
 	conn, err := rosepool.Open(ctx, dialer, target, rosepool.Credentials{User: "setup", Database: name})
 	if err != nil {
@@ -349,7 +349,7 @@
 	for _, p := range s.Proxies {
 		p.Kill()
 	}
-	for _, c := range s.Clusters {
+	for _, c := range s.Groups {
 		c.Close()
 	}
 	s.Platform.Close()
--- a/internal/rosestack/stack_test.go
+++ b/internal/rosestack/stack_test.go
@@ -57,7 +57,7 @@
 	for _, resume := range []string{"token", "name"} {
 		t.Run(resume, func(t *testing.T) {
 			withStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
-				cluster := stack.Clusters["licencias1"]
+				cluster := stack.Groups["licencias1"]
 				cluster.Target("licencias1-2").SetLag(700 * time.Millisecond)
 				first := connect(c, stack, 0, nil)
 				query(c, first, "UPDATE licences SET version = 41 WHERE id = 7")
@@ -81,7 +81,7 @@
 
 func TestWriteWaitsForAQuorum(t *testing.T) {
 	withStack(t, "guatemala", func(c *qt.C, stack *rosestack.Stack) {
-		cluster := stack.Clusters["carreras1"]
+		cluster := stack.Groups["carreras1"]
 		for _, id := range []string{"carreras1-2", "carreras1-3"} {
 			cluster.Target(rosemary.TargetID(id)).SetLag(2 * time.Second)
 		}
@@ -118,7 +118,7 @@
 		stack, err := rosestack.Start(context.Background(), rosestack.Config{Deployment: deployment, InMemory: true})
 		c.Assert(err, qt.IsNil)
 		defer stack.Close()
-		targets := stack.Clusters["licencias1"].Targets()
+		targets := stack.Groups["licencias1"].Targets()
 		for _, target := range targets {
 			const everyTwentieth = 20
 			target.SetSlowWatches(everyTwentieth, 450*time.Millisecond)
--- a/internal/rosetarget/inspect.go
+++ b/internal/rosetarget/inspect.go
@@ -10,9 +10,9 @@
 
 // Record is one commit in a target's log.
 type Record struct {
-	Term uint64
-	At   time.Time
-	Puts []Put
+	Term        uint64
+	CommittedAt time.Time
+	Puts        []Put
 }
 
 // Log returns the target's whole log.
@@ -21,7 +21,7 @@
 	defer t.mu.Unlock()
 	records := make([]Record, len(t.data.log))
 	for i, r := range t.data.log {
-		records[i] = Record{Term: r.term, At: r.committedAt, Puts: r.puts()}
+		records[i] = Record{Term: r.term, CommittedAt: r.committedAt, Puts: r.puts()}
 	}
 	return records
 }
--- a/internal/rosetarget/target.go
+++ b/internal/rosetarget/target.go
@@ -39,7 +39,7 @@
 // Target is one emulated database server.
 type Target struct {
 	config  Config
-	cluster *Cluster
+	cluster *Group
 	slots   chan struct{}
 
 	mu       sync.Mutex
@@ -78,16 +78,16 @@
 	goroutines sync.WaitGroup
 }
 
-// Cluster is a group of targets that replicate to each other.
-type Cluster struct {
+// Group is a group of targets that replicate to each other.
+type Group struct {
 	network *rosenet.Network
 	targets map[rosemary.TargetID]*Target
 }
 
-// NewCluster returns a group of targets that aren't started yet. The first is
+// NewGroup returns a group of targets that aren't started yet. The first is
 // the primary of term 1 and the others are its replicas.
-func NewCluster(network *rosenet.Network, configs []Config) *Cluster {
-	cluster := &Cluster{network: network, targets: make(map[rosemary.TargetID]*Target)}
+func NewGroup(network *rosenet.Network, configs []Config) *Group {
+	cluster := &Group{network: network, targets: make(map[rosemary.TargetID]*Target)}
 	for i, c := range configs {
 		c.Network = network
 		t := &Target{
@@ -111,7 +111,7 @@
 }
 
 // Target returns the target with that identifier, or nil.
-func (c *Cluster) Target(id rosemary.TargetID) *Target { return c.targets[id] }
+func (c *Group) Target(id rosemary.TargetID) *Target { return c.targets[id] }
 
 // Start listens and serves until Crash. The first start picks a free address,
 // which later starts reuse.
@@ -297,11 +297,11 @@
 }
 
 // Close stops all targets of the group.
-func (c *Cluster) Close() {
+func (c *Group) Close() {
 	for _, t := range c.targets {
 		t.Crash()
 	}
 }
 
 // Targets returns the targets of the group by identifier.
-func (c *Cluster) Targets() map[rosemary.TargetID]*Target { return c.targets }
+func (c *Group) Targets() map[rosemary.TargetID]*Target { return c.targets }
--- a/pkg/rosepool/pool_test.go
+++ b/pkg/rosepool/pool_test.go
@@ -22,7 +22,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		network := rosenet.NewNetwork(rosenet.Config{InMemory: true})
-		cluster := rosetarget.NewCluster(network, []rosetarget.Config{{ID: "t", Zone: "a", Slots: 2, MaxConnections: 4}})
+		cluster := rosetarget.NewGroup(network, []rosetarget.Config{{ID: "t", Zone: "a", Slots: 2, MaxConnections: 4}})
 		c.Assert(cluster.Target("t").Start(), qt.IsNil)
 		pool := rosepool.NewPool(rosepool.Config{
 			Target: rosemary.Target{ID: "t", Address: cluster.Target("t").Address()},
@@ -128,7 +128,7 @@
 	c := qt.New(b)
 	network := rosenet.NewNetwork(rosenet.Config{})
 	defer network.Close()
-	cluster := rosetarget.NewCluster(network, []rosetarget.Config{{ID: "t", Zone: "a", Slots: 2, MaxConnections: 4}})
+	cluster := rosetarget.NewGroup(network, []rosetarget.Config{{ID: "t", Zone: "a", Slots: 2, MaxConnections: 4}})
 	c.Assert(cluster.Target("t").Start(), qt.IsNil)
 	defer cluster.Close()
 	dialer := &countingDialer{Dialer: network.Dialer(rosenet.Host{Name: "p", Zone: "a"})}
