--- a/internal/rosecommand/demo.go
+++ b/internal/rosecommand/demo.go
@@ -66,13 +66,13 @@
 	for _, p := range stack.Proxies {
 		fmt.Fprintf(streams.Out, "proxy=%s zone=%s address=%s admin=%s\n", p.Name, p.Zone, p.Address, p.AdminAddress)
 	}
-	for _, d := range stack.BundleContent.Databases {
+	for _, d := range stack.InitialBundle.Databases {
 		for _, t := range d.Targets {
 			fmt.Fprintf(streams.Out, "target=%s database=%s zone=%s address=%s\n", t.ID, d.Name, t.Zone, t.Address)
 		}
 	}
 	fmt.Fprintf(streams.Out, "store=%s\n", stack.PlatformAddress())
-	content := stack.BundleContent
+	content := stack.InitialBundle
 	address := "none"
 	if len(stack.Proxies) > 0 {
 		address = stack.Proxies[0].Address
--- a/internal/roseload/check.go
+++ b/internal/roseload/check.go
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	if len(sets) > MaxTransactionRows {
+	if len(sets) > maxTransactionRows {
 		return
 	}
 	if len(markers) > 1 || len(sets) > 1 || len(markers) == 1 && (len(sets) != 1 || sets[0] != markers[0]) {
@@ -97,7 +97,7 @@
 
 // MaxTransactionRows bounds the registers that a transaction of the load sets.
 // Log records with more are from the creation of the tables.
-const MaxTransactionRows = 10
+const maxTransactionRows = 10
 
 func (sl *survivingLog) set(key string, value int64, at time.Time) {
 	reg := sl.registers[key]
--- a/internal/roseload/fault_primary.go
+++ b/internal/roseload/fault_primary.go
@@ -97,7 +97,7 @@
 
 func (f *injector) zoneOf(t *rosetarget.Target) string {
 	id := string(t.Status().Target)
-	for _, d := range f.run.stack.BundleContent.Databases {
+	for _, d := range f.run.stack.InitialBundle.Databases {
 		for _, target := range d.Targets {
 			if target.ID == id {
 				return target.Zone
--- a/internal/rosestack/bundles.go
+++ b/internal/rosestack/bundles.go
@@ -43,10 +43,10 @@
 // proposeInitial signs and proposes the first bundle.
 func (s *Stack) proposeInitial(ctx context.Context) error {
 	list := s.operators()
-	s.BundleContent.Operators, s.BundleContent.Signatures = list.Operators, list.Signatures
+	s.InitialBundle.Operators, s.InitialBundle.Signatures = list.Operators, list.Signatures
 	store := s.newOperatorStore()
 	defer store.Close()
-	return rosebundle.Propose(ctx, store, sign(rosebundle.Build(s.BundleContent, rosebundle.Manifest{})))
+	return rosebundle.Propose(ctx, store, sign(rosebundle.Build(s.InitialBundle, rosebundle.Manifest{})))
 }
 
 // sign adds every operator's signature to the manifest.
--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -40,7 +40,7 @@
 	Network       *rosenet.Network
 	Groups        map[string]*rosetarget.Group
 	Proxies       []*Proxy
-	BundleContent *rosebundle.Content
+	InitialBundle *rosebundle.Content
 	// Platform simulates the platform's key-value service and VM list.
 	Platform        *rosekv.Server
 	platformAddress string
@@ -89,7 +89,7 @@
 	if err := s.startTargets(); err != nil {
 		return nil, err
 	}
-	s.BundleContent = s.initialContent()
+	s.InitialBundle = s.initialContent()
 	if err := s.proposeInitial(ctx); err != nil {
 		return nil, err
 	}
--- a/internal/rosestack/stack_test.go
+++ b/internal/rosestack/stack_test.go
@@ -39,8 +39,8 @@
 // connect opens a caller's connection to proxy i as the first tenant.
 func connect(c *qt.C, stack *rosestack.Stack, i int, settings map[string]string) *pgconn.PgConn {
 	conn, err := rosestack.Connect(context.Background(), stack.CallerDialer("caller"), stack.Proxies[i].Address, rosestack.CallerConfig{
-		Tenant:   stack.BundleContent.Tenants[0].Name,
-		Database: stack.BundleContent.Databases[0].Name,
+		Tenant:   stack.InitialBundle.Tenants[0].Name,
+		Database: stack.InitialBundle.Databases[0].Name,
 		Settings: settings,
 	})
 	c.Assert(err, qt.IsNil)
