--- a/internal/rosecommand/soak.go
+++ b/internal/rosecommand/soak.go
@@ -38,7 +38,7 @@
 	}
 	violations := 0
 	for n := range *runs {
-		config := rosesoak.Config{Program: *program, Seed: *seed + uint64(n), Duration: *duration, ProxiesPerZone: *proxies, Callers: *callers}
+		config := rosesoak.Config{Program: *program, Seed: *seed + uint64(n), Duration: *duration, ProxiesPerZone: *proxies, Clients: *callers}
 		if *verbose {
 			config.Out = streams.Out
 		}
--- a/internal/roseexplain/story.go
+++ b/internal/roseexplain/story.go
@@ -12,8 +12,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Event is one line of a timeline.
-type Event struct {
+// Entry is one line of a timeline.
+type Entry struct {
 	Process string
 	Line
 	// AdjustedTime is the time by the clock of the process that answered the
@@ -27,7 +27,7 @@
 // Timeline is the merged log lines that concern one request.
 type Timeline struct {
 	Request string
-	Events  []Event
+	Entries []Entry
 	// ClockOffsets holds what was added to the times of each process; those
 	// without an offset are missing.
 	ClockOffsets map[string]time.Duration
@@ -61,11 +61,11 @@
 			namesRequest := line.Fields["request"] == request
 			inWindow := !adjusted.Before(start.Add(-lookBack)) && !adjusted.After(result.Time)
 			if namesRequest || inWindow && line.concernsAny(subjects) {
-				timeline.Events = append(timeline.Events, Event{Process: log.Process, Line: line, AdjustedTime: adjusted, NamesRequest: namesRequest})
+				timeline.Entries = append(timeline.Entries, Entry{Process: log.Process, Line: line, AdjustedTime: adjusted, NamesRequest: namesRequest})
 			}
 		}
 	}
-	slices.SortStableFunc(timeline.Events, func(a, b Event) int {
+	slices.SortStableFunc(timeline.Entries, func(a, b Entry) int {
 		return cmp.Or(a.AdjustedTime.Compare(b.AdjustedTime), sortRank(a)-sortRank(b))
 	})
 	return timeline, nil
@@ -73,7 +73,7 @@
 
 // sortRank puts state changes before lines of the request at the same time, and
 // the request's result last.
-func sortRank(e Event) int {
+func sortRank(e Entry) int {
 	switch {
 	case e.isResult():
 		return 2
@@ -178,7 +178,7 @@
 // WriteText writes the timeline as text, with the request's own lines marked by
 // ">".
 func (t Timeline) WriteText(w io.Writer) error {
-	for _, e := range t.Events {
+	for _, e := range t.Entries {
 		mark := " "
 		if e.NamesRequest {
 			mark = ">"
--- a/internal/rosesoak/soak.go
+++ b/internal/rosesoak/soak.go
@@ -53,7 +53,7 @@
 	// ProxiesPerZone is the number of proxies in each of three zones.
 	ProxiesPerZone int
 	// Callers is the number of concurrent clients.
-	Callers int
+	Clients int
 	// IdleCloseTolerance is how soon after sending a request a client may find its
 	// connection closed without a violation: the proxy closed it between two
 	// requests and never read the later one. Zero means
@@ -119,7 +119,7 @@
 	writersCtx, stopWriters := context.WithCancel(ctx)
 	defer stopWriters()
 	var tasks sync.WaitGroup
-	writers := make([]*writer, config.Callers)
+	writers := make([]*writer, config.Clients)
 	for n := range writers {
 		writers[n] = &writer{soak: s, item: fmt.Sprint("i", n), random: rand.New(rand.NewPCG(config.Seed, uint64(n)+1))}
 		tasks.Go(func() { writers[n].run(writersCtx) })
--- a/internal/rosesoak/soak_test.go
+++ b/internal/rosesoak/soak_test.go
@@ -28,7 +28,7 @@
 func runSoak(t *testing.T, program string, seed uint64, duration time.Duration) rosesoak.Report {
 	t.Helper()
 	report, err := rosesoak.Run(context.Background(), rosesoak.Config{
-		Program: program, Directory: t.TempDir(), Seed: seed, Duration: duration, ProxiesPerZone: 1, Callers: 6, IdleCloseTolerance: idleCloseTolerance,
+		Program: program, Directory: t.TempDir(), Seed: seed, Duration: duration, ProxiesPerZone: 1, Clients: 6, IdleCloseTolerance: idleCloseTolerance,
 	})
 	qt.Assert(t, err, qt.IsNil)
 	t.Logf("seed %d: %d faults, %v", seed, report.Faults, report.Outcomes)
