--- a/pkg/rosepool/command.go
+++ b/pkg/rosepool/command.go
@@ -7,8 +7,9 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// PooledControl calls a target's control functions over connections of its
-// pool, for the few calls of a failover. It implements rosemary.TargetControl.
+// PooledControl calls a target's control functions over connections of the
+// target's pool. It holds none between calls, which suits the few calls of
+// failovers and status checks. It implements rosemary.TargetControl.
 type PooledControl struct {
 	pool *Pool
 }
--- a/pkg/rosepool/conn.go
+++ b/pkg/rosepool/conn.go
@@ -21,8 +21,7 @@
 // prepared.
 const maxPreparedStatements = 200
 
-// Credentials are the startup parameters with which the proxy logs in to
-// targets.
+// Credentials are used to log in to targets.
 type Credentials struct {
 	User     string
 	Password string
@@ -41,7 +40,8 @@
 	secret     []byte
 	parameters map[string]string
 	prepared   preparedSet
-	// LastCommit is the log position of the connection's last commit.
+	// LastCommit is the log position of the connection's last commit. It is set
+	// by the connection's users, as is SettingsFingerprint.
 	LastCommit rosemary.Position
 	// SettingsFingerprint identifies the session settings that are applied.
 	SettingsFingerprint string
@@ -58,7 +58,7 @@
 func Open(ctx context.Context, dialer rosemary.Dialer, target rosemary.Target, credentials Credentials) (*Conn, error) {
 	conn, err := dialer.Dial(ctx, target.Address)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "dial target %s", target.ID)
+		return nil, trace.ConnectionProblem(err, "dialing target %s failed", target.ID)
 	}
 	c := &Conn{
 		Target:     target.ID,
@@ -71,9 +71,9 @@
 		lastUsed:   time.Now(),
 	}
 	c.frontend.SetMaxBodyLen(maxMessageBytes)
-	release := c.watchContext(ctx)
+	stopWatching := c.watchContext(ctx)
 	err = c.handshake(credentials)
-	release()
+	stopWatching()
 	if err != nil {
 		conn.Close()
 		return nil, trace.Wrap(err, "handshake with target %s", target.ID)
@@ -106,13 +106,13 @@
 		},
 	})
 	if err := c.frontend.Flush(); err != nil {
-		return trace.ConnectionProblem(err, "send startup message")
+		return trace.ConnectionProblem(err, "sending the startup message failed")
 	}
 	auth := &authenticator{conn: c, credentials: credentials}
 	for {
 		message, err := c.frontend.Receive()
 		if err != nil {
-			return trace.ConnectionProblem(err, "receive startup response")
+			return trace.ConnectionProblem(err, "receiving the startup response failed")
 		}
 		switch m := message.(type) {
 		case *pgproto3.ParameterStatus:
@@ -144,7 +144,8 @@
 // startup.
 func (c *Conn) Parameters() map[string]string { return c.parameters }
 
-// TxStatus returns the transaction status of the last ReadyForQuery.
+// TxStatus returns the transaction status of the last ReadyForQuery: 'I' outside
+// a transaction, 'T' in one and 'E' in a failed one.
 func (c *Conn) TxStatus() byte { return c.status }
 
 // Broken reports whether the connection is closed or in an uncertain state.
@@ -179,9 +180,9 @@
 	if err := ctx.Err(); err != nil {
 		return trace.Wrap(err)
 	}
-	release := c.watchContext(ctx)
+	stopWatching := c.watchContext(ctx)
 	err := c.exchange(steps)
-	release()
+	stopWatching()
 	c.lastUsed = time.Now()
 	if err != nil {
 		c.Close()
@@ -198,7 +199,7 @@
 	}
 	c.written = true
 	if err := c.frontend.Flush(); err != nil {
-		return trace.ConnectionProblem(err, "send to target %s", c.Target)
+		return trace.ConnectionProblem(err, "sending to target %s failed", c.Target)
 	}
 	for _, s := range steps {
 		if err := c.receiveUntilReady(s.Receive); err != nil {
@@ -213,7 +214,7 @@
 	for {
 		message, err := c.frontend.Receive()
 		if err != nil {
-			return trace.ConnectionProblem(err, "receive from target %s", c.Target)
+			return trace.ConnectionProblem(err, "receiving from target %s failed", c.Target)
 		}
 		ready, done := message.(*pgproto3.ReadyForQuery)
 		if done {
@@ -233,8 +234,8 @@
 // SendFlush sends messages followed by Flush instead of Sync, so that their
 // response doesn't end with ReadyForQuery.
 func (c *Conn) SendFlush(ctx context.Context, messages []pgproto3.FrontendMessage) error {
-	release := c.watchContext(ctx)
-	defer release()
+	stopWatching := c.watchContext(ctx)
+	defer stopWatching()
 	for _, m := range messages {
 		c.frontend.Send(m)
 	}
@@ -242,19 +243,19 @@
 	c.written = true
 	if err := c.frontend.Flush(); err != nil {
 		c.Close()
-		return trace.ConnectionProblem(err, "send to target %s", c.Target)
+		return trace.ConnectionProblem(err, "sending to target %s failed", c.Target)
 	}
 	return nil
 }
 
 // Receive receives one message of the response to SendFlush.
 func (c *Conn) Receive(ctx context.Context) (pgproto3.BackendMessage, error) {
-	release := c.watchContext(ctx)
-	defer release()
+	stopWatching := c.watchContext(ctx)
+	defer stopWatching()
 	message, err := c.frontend.Receive()
 	if err != nil {
 		c.Close()
-		return nil, trace.ConnectionProblem(err, "receive from target %s", c.Target)
+		return nil, trace.ConnectionProblem(err, "receiving from target %s failed", c.Target)
 	}
 	return message, nil
 }
@@ -263,7 +264,7 @@
 func (c *Conn) Cancel(ctx context.Context) error {
 	conn, err := c.dialer.Dial(ctx, c.address)
 	if err != nil {
-		return trace.ConnectionProblem(err, "dial target %s to cancel", c.Target)
+		return trace.ConnectionProblem(err, "dialing target %s for a cancel request failed", c.Target)
 	}
 	defer conn.Close()
 	if deadline, ok := ctx.Deadline(); ok {
@@ -274,7 +275,7 @@
 		return trace.Wrap(err)
 	}
 	if _, err := conn.Write(request); err != nil {
-		return trace.ConnectionProblem(err, "send cancel to target %s", c.Target)
+		return trace.ConnectionProblem(err, "sending a cancel request to target %s failed", c.Target)
 	}
 	// The target closes the connection once it has handled the request.
 	_, _ = conn.Read(make([]byte, 1))
--- a/pkg/rosepool/control.go
+++ b/pkg/rosepool/control.go
@@ -12,12 +12,12 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// controlTimeout bounds a control call, in addition to the time that a watch
-// asks the target to wait.
+// controlTimeout bounds a control call. A watch may also take the time for which
+// it asks the target to wait.
 const controlTimeout = 600 * time.Millisecond
 
-// Control calls a target's control functions over its own connection. It
-// implements rosemary.TargetControl and runs one call at a time.
+// Control calls a target's control functions over its own connection, outside the
+// pool. It implements rosemary.TargetControl and runs one call at a time.
 type Control struct {
 	config Config
 	conn   *Conn
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// watchStatement is the name of the prepared statement for Watch. Preparing it
-// keeps a watch without changes small on the wire: the target sends no column
-// descriptions, and no row.
+// watchStatement is the name of the prepared statement for Watch. A watch without
+// changes is small on the wire: without a Describe message, the target sends no
+// column descriptions, and it sends a row only if the status has changed.
 const watchStatement = "rose_watch"
 
 func (c *Conn) queryWatch(ctx context.Context, args ...string) ([][]string, error) {
@@ -130,8 +130,8 @@
 	return parseStatus(rows)
 }
 
-// Query runs a simple query and returns its rows in text format. An error
-// response of the target is returned as trace.BadParameter.
+// Query runs a simple query and returns its rows in text format. The error is a
+// trace.BadParameter if the target returns an error response.
 func (c *Conn) Query(ctx context.Context, query string) ([][]string, error) {
 	return c.queryRows(ctx, []pgproto3.FrontendMessage{&pgproto3.Query{String: query}})
 }
@@ -151,7 +151,7 @@
 				}
 				rows = append(rows, fields)
 			case *pgproto3.ErrorResponse:
-				failure = trace.BadParameter("target %s answered %s: %s", c.Target, m.Code, m.Message)
+				failure = trace.BadParameter("target %s returned error %s: %s", c.Target, m.Code, m.Message)
 			}
 			return nil
 		},
@@ -167,30 +167,30 @@
 
 func parseStatus(rows [][]string) (rosemary.Status, error) {
 	if len(rows) != 1 || len(rows[0]) != statusColumns {
-		return rosemary.Status{}, trace.BadParameter("unexpected status row: the target's control functions have another version")
+		return rosemary.Status{}, trace.BadParameter("unexpected status row; the target's control functions may be of another version")
 	}
-	f := rows[0]
-	term, err := strconv.ParseUint(f[1], 10, 64)
+	fields := rows[0]
+	term, err := strconv.ParseUint(fields[1], 10, 64)
 	if err != nil {
-		return rosemary.Status{}, trace.BadParameter("status: invalid term %q", f[1])
+		return rosemary.Status{}, trace.BadParameter("status: invalid term %q", fields[1])
 	}
-	position, err := rosemary.ParsePosition(f[2])
+	position, err := rosemary.ParsePosition(fields[2])
 	if err != nil {
 		return rosemary.Status{}, err
 	}
-	history, err := rosemary.ParseHistory(f[5])
+	history, err := rosemary.ParseHistory(fields[5])
 	if err != nil {
 		return rosemary.Status{}, err
 	}
 	return rosemary.Status{
-		Target:   rosemary.TargetID(f[0]),
+		Target:   rosemary.TargetID(fields[0]),
 		Term:     term,
 		Position: position,
-		Role:     rosemary.Role(f[3]),
-		Primary:  rosemary.TargetID(f[4]),
+		Role:     rosemary.Role(fields[3]),
+		Primary:  rosemary.TargetID(fields[4]),
 		History:  history,
-		Leaving:  f[6] == "true",
+		Leaving:  fields[6] == "true",
 
-		Streaming: f[7] == "true",
+		Streaming: fields[7] == "true",
 	}, nil
 }
--- a/pkg/rosepool/login.go
+++ b/pkg/rosepool/login.go
@@ -15,16 +15,16 @@
 
 // handle responds to one authentication message. Errors are
 // trace.AccessDenied if the method isn't supported or the SCRAM exchange fails.
-func (l *authenticator) handle(message pgproto3.BackendMessage) error {
+func (a *authenticator) handle(message pgproto3.BackendMessage) error {
 	switch m := message.(type) {
 	case *pgproto3.AuthenticationOk, *pgproto3.NoticeResponse:
 		return nil
 	case *pgproto3.AuthenticationSASL:
-		return l.startSASL(m.AuthMechanisms)
+		return a.startSASL(m.AuthMechanisms)
 	case *pgproto3.AuthenticationSASLContinue:
-		return l.continueSASL(m.Data)
+		return a.continueSASL(m.Data)
 	case *pgproto3.AuthenticationSASLFinal:
-		_, err := l.conversation.Step(string(m.Data))
+		_, err := a.conversation.Step(string(m.Data))
 		if err != nil {
 			return trace.AccessDenied("invalid final SCRAM message from the target: %v", err)
 		}
@@ -33,8 +33,8 @@
 	return trace.AccessDenied("the target sent %T during authentication; configure scram-sha-256 or trust for the proxy there", message)
 }
 
-func (l *authenticator) startSASL(mechanisms []string) error {
-	client, err := scram.SHA256.NewClient(l.credentials.User, l.credentials.Password, "")
+func (a *authenticator) startSASL(mechanisms []string) error {
+	client, err := scram.SHA256.NewClient(a.credentials.User, a.credentials.Password, "")
 	if err != nil {
 		return trace.AccessDenied("invalid user or password for SCRAM: %v", err)
 	}
@@ -42,25 +42,25 @@
 		if m != "SCRAM-SHA-256" {
 			continue
 		}
-		l.conversation = client.NewConversation()
-		first, err := l.conversation.Step("")
+		a.conversation = client.NewConversation()
+		first, err := a.conversation.Step("")
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		l.conn.frontend.Send(&pgproto3.SASLInitialResponse{AuthMechanism: m, Data: []byte(first)})
-		return trace.Wrap(l.conn.frontend.Flush())
+		a.conn.frontend.Send(&pgproto3.SASLInitialResponse{AuthMechanism: m, Data: []byte(first)})
+		return trace.Wrap(a.conn.frontend.Flush())
 	}
 	return trace.AccessDenied("the target offers only the SASL mechanisms %v; enable SCRAM-SHA-256 there", mechanisms)
 }
 
-func (l *authenticator) continueSASL(data []byte) error {
-	if l.conversation == nil {
+func (a *authenticator) continueSASL(data []byte) error {
+	if a.conversation == nil {
 		return trace.AccessDenied("the target continued a SCRAM exchange that was not started")
 	}
-	response, err := l.conversation.Step(string(data))
+	response, err := a.conversation.Step(string(data))
 	if err != nil {
 		return trace.AccessDenied("SCRAM exchange with the target failed: %v", err)
 	}
-	l.conn.frontend.Send(&pgproto3.SASLResponse{Data: []byte(response)})
-	return trace.Wrap(l.conn.frontend.Flush())
+	a.conn.frontend.Send(&pgproto3.SASLResponse{Data: []byte(response)})
+	return trace.Wrap(a.conn.frontend.Flush())
 }
--- a/pkg/rosepool/pool.go
+++ b/pkg/rosepool/pool.go
@@ -40,13 +40,15 @@
 	config    Config
 	dialSlots chan struct{}
 
-	mu         sync.Mutex
-	idle       []*Conn
-	open       int
-	limit      int
+	mu    sync.Mutex
+	idle  []*Conn
+	open  int
+	limit int
+	// generation counts calls of Invalidate.
 	generation uint64
-	freed      chan struct{}
-	closed     bool
+	// freed is closed and replaced whenever a waiting Acquire may succeed.
+	freed  chan struct{}
+	closed bool
 }
 
 // NewPool returns a pool that opens connections on demand.
@@ -60,8 +62,9 @@
 }
 
 // Acquire returns a connection for the caller's exclusive use until Release.
-// If it fails, nothing was sent on behalf of the caller. Errors are those of
-// Open; trace.ConnectionProblem wraps the error of ctx.
+// If it fails, nothing was sent on behalf of the caller. The error is a
+// trace.ConnectionProblem if the pool is closed or ctx ends (it then wraps the
+// error of ctx), or else one of Open.
 func (p *Pool) Acquire(ctx context.Context) (*Conn, error) {
 	return p.acquire(ctx, 0)
 }
@@ -75,7 +78,7 @@
 func (p *Pool) acquire(ctx context.Context, extra int) (*Conn, error) {
 	for {
 		if err := ctx.Err(); err != nil {
-			return nil, trace.ConnectionProblem(err, "acquire connection to target %s", p.config.Target.ID)
+			return nil, trace.ConnectionProblem(err, "context ended before a connection to target %s was acquired", p.config.Target.ID)
 		}
 		conn, wait, err := p.take(extra)
 		if err != nil {
@@ -128,23 +131,23 @@
 	case p.dialSlots <- struct{}{}:
 		defer func() { <-p.dialSlots }()
 	case <-ctx.Done():
-		p.releaseSlot()
-		return nil, trace.ConnectionProblem(ctx.Err(), "wait for other dials to target %s", p.config.Target.ID)
+		p.decrementOpen()
+		return nil, trace.ConnectionProblem(ctx.Err(), "context ended while waiting for other dials to target %s", p.config.Target.ID)
 	}
 	p.mu.Lock()
 	generation := p.generation
 	p.mu.Unlock()
 	conn, err := Open(ctx, p.config.Dialer, p.config.Target, p.config.Credentials)
 	if err != nil {
-		p.releaseSlot()
+		p.decrementOpen()
 		return nil, err
 	}
 	conn.generation = generation
 	return conn, nil
 }
 
-// releaseSlot uncounts a connection that could not be opened.
-func (p *Pool) releaseSlot() {
+// decrementOpen removes a connection that could not be opened from the count.
+func (p *Pool) decrementOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
@@ -156,9 +159,9 @@
 	p.freed = make(chan struct{})
 }
 
-// Release returns a connection to the pool. It is closed instead if it is
-// broken, in a transaction or older than the last Invalidate, or if the pool
-// is closed or over its limit.
+// Release returns a connection to the pool. The connection is closed instead if
+// it is broken, in a transaction or older than the last Invalidate, or if the
+// pool is closed or over its limit.
 func (p *Pool) Release(conn *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,7 +195,8 @@
 	p.notifyWaiters()
 }
 
-// SetLimit changes the maximum number of open connections.
+// SetLimit changes the maximum number of open connections, and closes idle ones
+// beyond it.
 func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
