--- a/internal/rosenode/facts.go
+++ b/internal/rosenode/facts.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// statusPollInterval is how often the proxies that sample targets are asked
-	// for their statuses.
+	// statusPollInterval is how often this proxy polls the statuses of targets
+	// from the proxies that sample them.
 	statusPollInterval = 250 * time.Millisecond
 	// statusPollTimeout bounds the wait for a reply.
 	statusPollTimeout = 200 * time.Millisecond
@@ -31,22 +31,23 @@
 	}
 }
 
-// statusSources returns the proxies that sample this proxy's home groups.
+// statusSources returns the other proxies that sample the targets of this proxy's
+// home groups.
 func (n *Node) statusSources() []rosemary.ProxyID {
-	c := n.configuration.Load()
-	if c == nil {
+	configuration := n.configuration.Load()
+	if configuration == nil {
 		return nil
 	}
 	live := n.mesh.LiveMembers()
 	seen := map[rosemary.ProxyID]bool{n.config.Self.Proxy: true}
 	var sources []rosemary.ProxyID
 	for _, name := range n.homeGroups() {
-		groupHomes := n.homesForGroup(name, c)
-		serving := slices.DeleteFunc(slices.Clone(live), func(m rosemary.Member) bool { return !isHome(m.Proxy, groupHomes) })
-		if len(serving) == 0 {
+		groupHomes := n.homesForGroup(name, configuration)
+		liveHomes := slices.DeleteFunc(slices.Clone(live), func(m rosemary.Member) bool { return !isHome(m.Proxy, groupHomes) })
+		if len(liveHomes) == 0 {
 			continue
 		}
-		source := rosepeer.RendezvousOrder("sample/"+name, serving)[0].Proxy
+		source := rosepeer.RendezvousOrder("sample/"+name, liveHomes)[0].Proxy
 		if !seen[source] {
 			seen[source] = true
 			sources = append(sources, source)
@@ -55,9 +56,9 @@
 	return sources
 }
 
-// pollStatusesFrom adds the statuses that a proxy has sampled to its groups.
-// Their ages count from before the question was sent, so that the transfer of
-// the reply makes no status look newer than it is.
+// pollStatusesFrom asks a proxy for the statuses that it has sampled, and passes
+// them to this proxy's groups. Their ages count from before the question was
+// sent, so that the transfer of the reply makes no status look newer than it is.
 func (n *Node) pollStatusesFrom(ctx context.Context, source rosemary.ProxyID) {
 	ctx, cancel := context.WithTimeout(ctx, statusPollTimeout)
 	defer cancel()
@@ -128,7 +129,8 @@
 			Position:   rosemary.Position{LogTerm: f.LogTerm, Offset: f.Offset},
 			Applied:    rosemary.Position{LogTerm: f.AppliedTerm, Offset: f.AppliedOffset},
 		},
-		SentAt:        sentAt,
+		SentAt: sentAt,
+		// Without a FreeMs, the target counts as unfenced from sentAt on.
 		UnfencedSince: sentAt.Add(-time.Duration(f.FreeMs) * time.Millisecond),
 	}
 }
--- a/internal/rosenode/follow.go
+++ b/internal/rosenode/follow.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// awaitTimeout bounds one wait for a new configuration, and so the delay of
-	// a version when a watch has stalled.
+	// awaitTimeout bounds one wait for a new configuration, and thus the delay of
+	// a new version if the watch stalls.
 	awaitTimeout = 1800 * time.Millisecond
-	// retryDelay follows a failed call to the store.
+	// retryDelay is the delay after a failed call to the store.
 	retryDelay = 150 * time.Millisecond
 	// fetchInterval is how often the whole configuration is read in addition to
-	// the watch, which may miss a change that the store has dropped.
+	// the watch, as the store may drop the notification of a change.
 	fetchInterval = 10 * time.Second
 	// targetsInterval is how often a home proxy reads the list of targets.
 	targetsInterval = 1400 * time.Millisecond
-	// targetsTimeout bounds one read of the targets or of the configuration.
-	targetsTimeout = 1500 * time.Millisecond
+	// storeReadTimeout bounds one read of the targets or of the configuration.
+	storeReadTimeout = 1500 * time.Millisecond
 	// maxUnscaledProxies is the cluster size up to which proxies call the store
 	// at their normal intervals.
 	maxUnscaledProxies = 12.0
@@ -37,8 +37,8 @@
 	// nonHomeIntervalFactor lengthens targetsInterval for a proxy that is home
 	// to no group, as it needs the targets only when no home proxy is reachable.
 	nonHomeIntervalFactor = 6
-	// reregistrationTime is how long after an outage of the store targets that
-	// are missing from the list are kept, for them to register again.
+	// reregistrationTime is how long targets that are missing from the list are
+	// kept after an outage of the store, which gives them time to register again.
 	reregistrationTime = 2500 * time.Millisecond
 	// controlConnections is the number of a target's connections that are
 	// reserved for status and control calls.
@@ -53,7 +53,7 @@
 		var configuration *rosemary.Configuration
 		var err error
 		if revision == 0 || time.Since(fetchedAt) > n.scaleInterval(fetchInterval) {
-			callCtx, cancel := context.WithTimeout(ctx, targetsTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, storeReadTimeout)
 			configuration, revision, err = n.config.Configurations.Fetch(callCtx)
 			cancel()
 			fetchedAt = time.Now()
@@ -80,8 +80,8 @@
 }
 
 // scaleInterval lengthens an interval for a large cluster, so that the load on
-// the store grows more slowly than the cluster. New configurations also spread
-// between proxies.
+// the store grows more slowly than the cluster. New configurations don't
+// depend on the intervals alone, as proxies also fetch them from each other.
 func (n *Node) scaleInterval(interval time.Duration) time.Duration {
 	factor := float64(len(n.locks.Members())) / maxUnscaledProxies
 	return time.Duration(float64(interval) * min(max(factor, 1), maxIntervalScale))
@@ -103,19 +103,19 @@
 	return nonHomeIntervalFactor * targetsInterval
 }
 
-// apply puts a configuration in force if it is newer than the current one.
-func (n *Node) apply(c *rosemary.Configuration) {
-	if c == nil {
+// apply puts a configuration into force if it is newer than the current one.
+func (n *Node) apply(configuration *rosemary.Configuration) {
+	if configuration == nil {
 		return
 	}
 	current := n.configuration.Load()
-	if current != nil && c.Version <= current.Version {
+	if current != nil && configuration.Version <= current.Version {
 		return
 	}
-	n.configuration.Store(c)
-	n.metrics.setConfigurationVersion(c.Version)
-	n.mesh.SetBundleVersion(uint64(c.Version))
-	klog.InfoS("configuration in force", "version", c.Version, "routes", len(c.Routes), "groups", len(c.Groups))
+	n.configuration.Store(configuration)
+	n.metrics.setConfigurationVersion(configuration.Version)
+	n.mesh.SetBundleVersion(uint64(configuration.Version))
+	klog.InfoS("configuration in force", "version", configuration.Version, "routes", len(configuration.Routes), "groups", len(configuration.Groups))
 	n.updateGroups(false)
 }
 
@@ -124,7 +124,7 @@
 	failed := false
 	var regainedAt time.Time
 	for ctx.Err() == nil {
-		callCtx, cancel := context.WithTimeout(ctx, targetsTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, storeReadTimeout)
 		registrations, unreadable, err := n.config.Targets.Targets(callCtx)
 		cancel()
 		switch {
@@ -163,7 +163,7 @@
 	n.mu.Lock()
 	if keepMissing {
 		for _, previous := range n.registrations {
-			same := func(l rosemary.TargetRegistration) bool { return l.ID == previous.ID }
+			same := func(r rosemary.TargetRegistration) bool { return r.ID == previous.ID }
 			if !slices.ContainsFunc(registrations, same) {
 				registrations = append(registrations, previous)
 			}
@@ -175,11 +175,12 @@
 }
 
 // updateGroups passes the targets and connection limits to the groups, and
-// starts and stops groups with the configuration. A group that is served
-// temporarily is updated only with targets just read from the store.
+// starts and stops groups as configured. fromStore tells that the targets have
+// just been read from the store; a group that is served temporarily is updated
+// only then.
 func (n *Node) updateGroups(fromStore bool) {
-	c := n.configuration.Load()
-	if c == nil {
+	configuration := n.configuration.Load()
+	if configuration == nil {
 		return
 	}
 	members := n.locks.Members()
@@ -188,22 +189,22 @@
 	if n.context == nil || n.context.Err() != nil {
 		return
 	}
-	for name, settings := range c.Groups {
+	for name, settings := range configuration.Groups {
 		g := n.groups[name]
 		if g == nil {
 			g = n.startGroup(name)
 		}
 		var registrations []rosemary.TargetRegistration
-		for _, l := range n.registrations {
-			if l.Group == name {
-				registrations = append(registrations, l)
+		for _, r := range n.registrations {
+			if r.Group == name {
+				registrations = append(registrations, r)
 			}
 		}
 		slots := minSlots(name, n.registrations)
 		available := availableConns(settings, slots)
 		groupHomes := homes(name, available, members)
 		limits := connLimits(available, n.config.Self, groupHomes)
-		if time.Since(n.started) < startupTime {
+		if time.Since(n.startedAt) < startupTime {
 			limits = limitToSlots(limits, slots)
 		}
 		g.home = isHome(n.config.Self.Proxy, groupHomes)
@@ -218,9 +219,9 @@
 		}
 	}
 	for name, g := range n.groups {
-		if _, configured := c.Groups[name]; !configured {
+		if _, configured := configuration.Groups[name]; !configured {
 			delete(n.groups, name)
-			n.tasks.Go(func() {
+			n.goroutines.Go(func() {
 				g.cancel()
 				g.Close()
 			})
@@ -244,6 +245,6 @@
 		Voters:     peers{n.mesh},
 		ProxyCount: func() int { return n.homeCount(name) },
 	})
-	n.tasks.Go(func() { g.replacer.Run(ctx) })
+	n.goroutines.Go(func() { g.replacer.Run(ctx) })
 	return g
 }
--- a/internal/rosenode/homes.go
+++ b/internal/rosenode/homes.go
@@ -14,10 +14,10 @@
 	// needs: one may be held by an idle transaction, one serves other requests.
 	minHomeConns = 2
 	// connsPerHome is the number of connections per target that each home proxy
-	// gets if there are too few for every proxy to be one.
+	// gets if there are too few for every proxy to be a home proxy.
 	connsPerHome = 5
-	// connsPerSlot bounds the connections to a target. Requests beyond its slots
-	// and its queue are refused by the target, so they wait in the proxy instead.
+	// connsPerSlot bounds the connections to a target, so that requests beyond
+	// its slots and its queue, which it would refuse, wait in the proxy.
 	connsPerSlot = 7
 )
 
@@ -48,9 +48,9 @@
 	return members
 }
 
-// connLimits divides the connections that each target of a group accepts evenly
-// among the availability zones, as callers connect within their zone, and then
-// among the home proxies of a zone.
+// connLimits returns this proxy's limits. The connections that each target of a
+// group accepts are divided evenly among the availability zones, as clients
+// connect within their zone, and then among the home proxies of a zone.
 func connLimits(available int, self rosemary.Member, homes []rosemary.Member) rosefleet.ConnLimits {
 	zones, zoneHomes := map[rosemary.Zone]bool{self.Zone: true}, 1
 	for _, m := range homes {
@@ -63,12 +63,14 @@
 	return rosefleet.ConnLimits{Share: share, Max: share}
 }
 
-// startupTime is how long after its start a proxy limits its connections to the
-// slots of a target. Other proxies that it doesn't know of yet may be starting
-// too, and targets keep the connections of VMs that lost power for this long.
+// startupTime is how long after its start a proxy opens no more connections to a
+// target than the target has slots. Other proxies that it doesn't know of yet may
+// be starting too, and targets keep the connections of VMs that lost power for
+// this long.
 const startupTime = 3 * time.Second
 
-// limitToSlots bounds limits by the number of a target's slots.
+// limitToSlots bounds limits by the number of a target's slots, but not below
+// minHomeConns.
 func limitToSlots(limits rosefleet.ConnLimits, slots int) rosefleet.ConnLimits {
 	bound := max(slots, minHomeConns)
 	return rosefleet.ConnLimits{Share: min(limits.Share, bound), Max: min(limits.Max, bound)}
@@ -81,21 +83,21 @@
 }
 
 // homesForGroup returns the home proxies of a group under a configuration.
-func (n *Node) homesForGroup(group string, c *rosemary.Configuration) []rosemary.Member {
-	return homes(group, n.availableConnsForGroup(group, c.Groups[group]), n.locks.Members())
+func (n *Node) homesForGroup(group string, configuration *rosemary.Configuration) []rosemary.Member {
+	return homes(group, n.availableConnsForGroup(group, configuration.Groups[group]), n.locks.Members())
 }
 
 // homeCount returns the number of home proxies of a group, at least 1.
 func (n *Node) homeCount(group string) int {
-	c := n.configuration.Load()
-	if c == nil {
+	configuration := n.configuration.Load()
+	if configuration == nil {
 		return 1
 	}
-	return max(len(n.homesForGroup(group, c)), 1)
+	return max(len(n.homesForGroup(group, configuration)), 1)
 }
 
-// availableConnsForGroup returns the number of connections that all proxies
-// together may hold to one target of a group.
+// availableConnsForGroup is availableConns with the slots of the group's
+// registered targets.
 func (n *Node) availableConnsForGroup(group string, settings rosemary.GroupSettings) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -106,9 +108,9 @@
 // none is known.
 func minSlots(group string, registrations []rosemary.TargetRegistration) int {
 	slots := 0
-	for _, l := range registrations {
-		if l.Group == group && (slots == 0 || l.Slots < slots) {
-			slots = l.Slots
+	for _, r := range registrations {
+		if r.Group == group && (slots == 0 || r.Slots < slots) {
+			slots = r.Slots
 		}
 	}
 	return slots
--- a/internal/rosenode/homes_test.go
+++ b/internal/rosenode/homes_test.go
@@ -48,7 +48,7 @@
 			for _, m := range groupHomes {
 				total += connLimits(available, m, groupHomes).Share
 			}
-			qt.Check(t, total <= max(available, len(groupHomes)), qt.IsTrue, qt.Commentf("%d connections of %d", total, available))
+			qt.Check(t, total <= max(available, len(groupHomes)), qt.IsTrue, qt.Commentf("%d connections in total, %d available", total, available))
 		})
 	}
 }
--- a/internal/rosenode/metrics.go
+++ b/internal/rosenode/metrics.go
@@ -26,13 +26,13 @@
 }
 
 func (m *Metrics) observeStatement(class string, kind rosemary.StatementKind, primary bool, took time.Duration) {
-	label := `{class="` + class + `",kind="` + kind.String() + `",primary="` + strconv.FormatBool(primary) + `"}`
-	m.set.GetOrCreateHistogram("rosemary_statement_seconds" + label).Update(took.Seconds())
+	labels := `{class="` + class + `",kind="` + kind.String() + `",primary="` + strconv.FormatBool(primary) + `"}`
+	m.set.GetOrCreateHistogram("rosemary_statement_seconds" + labels).Update(took.Seconds())
 }
 
 func (m *Metrics) countRefusal(refusal *rosemary.Refusal) {
-	label := `{kind="` + string(refusal.Kind) + `",outcome="` + string(refusal.Outcome) + `"}`
-	m.set.GetOrCreateCounter("rosemary_refusals_total" + label).Inc()
+	labels := `{kind="` + string(refusal.Kind) + `",outcome="` + string(refusal.Outcome) + `"}`
+	m.set.GetOrCreateCounter("rosemary_refusals_total" + labels).Inc()
 }
 
 func (m *Metrics) setConfigurationVersion(version int64) {
--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -1,5 +1,7 @@
 // Package rosenode runs a proxy that finds its targets, its configuration and
-// the other proxies in the platform's store.
+// the other proxies in the platform's metadata store. A proxy holds connections
+// to the targets of its home groups, and relays requests for other groups to the
+// home proxies of those.
 package rosenode
 
 import (
@@ -44,18 +46,18 @@
 // keyPrefix is put before this product's keys in the store.
 const keyPrefix = "Rosemarywell/"
 
-// Node is one proxy. Its methods may be called concurrently.
+// Node is a proxy on the platform. Its methods may be called concurrently.
 type Node struct {
-	config      Config
-	locks       *rosesupervisor.LockManager
-	budget      *roseadmit.RetryBudget
-	mesh        *rosepeer.Mesh
-	executor    *rosecaller.LocalExecutor
-	relayServer *roserelay.Server
-	relayClient *roserelay.Client
-	metrics     *Metrics
-	started     time.Time
-	fetching    atomic.Bool
+	config                Config
+	locks                 *rosesupervisor.LockManager
+	retryBudget           *roseadmit.RetryBudget
+	mesh                  *rosepeer.Mesh
+	executor              *rosecaller.LocalExecutor
+	relayServer           *roserelay.Server
+	relayClient           *roserelay.Client
+	metrics               *Metrics
+	startedAt             time.Time
+	fetchingConfiguration atomic.Bool
 	// readTargetsNow makes followTargets read the targets at once.
 	readTargetsNow chan struct{}
 	// isolated is set while this proxy is neither registered in the store nor
@@ -71,17 +73,19 @@
 	groups        map[string]*group
 	registrations []rosemary.TargetRegistration
 	targetsLoaded bool
-	context       context.Context
-	tasks         sync.WaitGroup
+	// context is the context of Run, nil before Run.
+	context    context.Context
+	goroutines sync.WaitGroup
 }
 
-// group is a group with the replacer of its primary.
+// group is a group of targets with the replacer of its primary. Every proxy has
+// one for each configured group, but without targets unless it serves the group.
 type group struct {
 	*rosefleet.Group
 	replacer *rosesupervisor.Replacer
 	cancel   context.CancelFunc
 	// home is set while this proxy is a home proxy of the group. Otherwise it
-	// may serve the group until temporaryUntil. Both are guarded by the node's
+	// serves the group only until temporaryUntil. Both are guarded by the node's
 	// lock.
 	home           bool
 	temporaryUntil time.Time
@@ -102,16 +106,16 @@
 		config.OnZonePartitioned = func(bool) {}
 	}
 	n := &Node{
-		config:  config,
-		budget:  roseadmit.NewRetryBudget(),
-		metrics: NewMetrics(),
-		started: time.Now(),
-		groups:  make(map[string]*group),
+		config:      config,
+		retryBudget: roseadmit.NewRetryBudget(),
+		metrics:     NewMetrics(),
+		startedAt:   time.Now(),
+		groups:      make(map[string]*group),
 
 		readTargetsNow: make(chan struct{}, 1),
 	}
 	n.mesh = n.newMesh()
-	n.executor = rosecaller.NewLocalExecutor(rosecaller.LocalExecutorConfig{Group: n.Group, RetryBudget: n.budget})
+	n.executor = rosecaller.NewLocalExecutor(rosecaller.LocalExecutorConfig{Group: n.Group, RetryBudget: n.retryBudget})
 	n.relayServer = roserelay.NewServer(roserelay.ServerConfig{Executor: localExecutor{n}})
 	n.relayClient = roserelay.NewClient(roserelay.ClientConfig{Dialer: config.PeerDialer})
 	n.locks = rosesupervisor.NewLockManager(rosesupervisor.LockManagerConfig{
@@ -134,14 +138,14 @@
 	n.mu.Lock()
 	n.context = ctx
 	n.mu.Unlock()
-	var tasks errgroup.Group
-	for _, task := range []func(context.Context){n.followConfiguration, n.followTargets, n.followMembers, n.pollStatuses, n.watchZonePartition, n.mesh.Run, n.locks.Run} {
-		tasks.Go(func() error {
-			task(ctx)
+	var loops errgroup.Group
+	for _, loop := range []func(context.Context){n.followConfiguration, n.followTargets, n.followMembers, n.pollStatuses, n.watchZonePartition, n.mesh.Run, n.locks.Run} {
+		loops.Go(func() error {
+			loop(ctx)
 			return nil
 		})
 	}
-	_ = tasks.Wait()
+	_ = loops.Wait()
 	n.mu.Lock()
 	groups := n.groups
 	n.groups = make(map[string]*group)
@@ -149,7 +153,7 @@
 	for _, g := range groups {
 		g.cancel()
 	}
-	n.tasks.Wait()
+	n.goroutines.Wait()
 	n.relayClient.Close()
 	n.relayServer.Close()
 	for _, g := range groups {
@@ -157,7 +161,7 @@
 	}
 }
 
-// primaryMissing reports whether a home group has no valid primary.
+// primaryMissing reports whether a home group of this proxy has no valid primary.
 func (n *Node) primaryMissing() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -195,7 +199,7 @@
 	return canceled
 }
 
-// homeGroups returns the names of the groups that this proxy is a home of.
+// homeGroups returns the names of the groups that this proxy is a home proxy of.
 func (n *Node) homeGroups() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -233,11 +237,11 @@
 
 // Route returns the route of a database in the configuration in force.
 func (n *Node) Route(database string) (rosemary.Route, bool) {
-	c := n.configuration.Load()
-	if c == nil {
+	configuration := n.configuration.Load()
+	if configuration == nil {
 		return rosemary.Route{}, false
 	}
-	route, found := c.Routes[database]
+	route, found := configuration.Routes[database]
 	return route, found
 }
 
@@ -257,8 +261,8 @@
 
 // TransactionIdleTimeout is how long a transaction may be idle.
 func (n *Node) TransactionIdleTimeout() time.Duration {
-	if c := n.configuration.Load(); c != nil && c.TransactionIdleTimeout > 0 {
-		return c.TransactionIdleTimeout
+	if configuration := n.configuration.Load(); configuration != nil && configuration.TransactionIdleTimeout > 0 {
+		return configuration.TransactionIdleTimeout
 	}
 	return defaultTransactionIdleTimeout
 }
@@ -274,8 +278,8 @@
 func (n *Node) Refused(database, id string, refusal *rosemary.Refusal, target rosemary.TargetID, took time.Duration) {
 	n.metrics.countRefusal(refusal)
 	version := int64(0)
-	if c := n.configuration.Load(); c != nil {
-		version = c.Version
+	if configuration := n.configuration.Load(); configuration != nil {
+		version = configuration.Version
 	}
 	route, _ := n.Route(database)
 	klog.InfoS("request refused", "request", id, "database", database, "group", route.Group, "kind", refusal.Kind, "outcome", refusal.Outcome,
@@ -283,10 +287,10 @@
 }
 
 // maxPrimaryWait is how long after its start a proxy waits for the primaries of
-// its home groups before it accepts callers without them.
+// its home groups before it accepts clients without them.
 const maxPrimaryWait = 4 * time.Second
 
-// Ready reports whether the balancer should send new callers to this proxy.
+// Ready reports whether the load balancer should send new clients to this proxy.
 func (n *Node) Ready() bool {
 	if n.draining.Load() || n.zonePartitioned.Load() || n.configuration.Load() == nil {
 		return false
@@ -296,7 +300,7 @@
 	if !n.targetsLoaded {
 		return false
 	}
-	if time.Since(n.started) > maxPrimaryWait {
+	if time.Since(n.startedAt) > maxPrimaryWait {
 		return true
 	}
 	for _, g := range n.groups {
@@ -307,8 +311,8 @@
 	return true
 }
 
-// BeginDrain makes the proxy not ready, so that the balancer sends new callers
-// elsewhere, and leaves the mesh of proxies.
+// BeginDrain makes the proxy not ready, so that the load balancer sends new
+// clients elsewhere, and leaves the mesh of proxies.
 func (n *Node) BeginDrain() {
 	n.draining.Store(true)
 	n.mesh.Leave()
--- a/internal/rosenode/peers.go
+++ b/internal/rosenode/peers.go
@@ -25,7 +25,7 @@
 	peerTickInterval = 100 * time.Millisecond
 	// peerHeaderTimeout bounds the time to receive a peer's request headers.
 	peerHeaderTimeout = 5 * time.Second
-	// membersInterval is how often the registered proxies are checked.
+	// membersInterval is how often the registered proxies are passed to the mesh.
 	membersInterval = time.Second
 	// peerFetchDelay is how long a new configuration may take to arrive from the
 	// store before it is fetched from a peer that has it.
@@ -52,14 +52,17 @@
 func (n *Node) newMesh() *rosepeer.Mesh {
 	return rosepeer.NewMesh(rosepeer.Config{
 		Node: rosepeer.NodeConfig{
-			Self:              n.config.Self,
+			Self: n.config.Self,
+			// It has to increase with each start; Config.Incarnation only differs.
 			Incarnation:       uint64(time.Now().UnixMilli()),
 			HeartbeatInterval: peerHeartbeatInterval,
 			FullMeshSize:      peerFullMeshSize,
 		},
-		Dialer:              n.config.PeerDialer,
-		TickInterval:        peerTickInterval,
-		OnEvent:             n.handlePeerEvent,
+		Dialer:       n.config.PeerDialer,
+		TickInterval: peerTickInterval,
+		OnEvent:      n.handlePeerEvent,
+		// Proxies on the platform don't forward cancel requests, lend each other
+		// connections or tunnel them.
 		OnCancel:            func(_, _ uint32) {},
 		BundlePart:          n.configurationText,
 		OnConnectionRequest: func(rosemary.ProxyID, rosewire.Ask) rosewire.Grant { return rosewire.Grant{} },
@@ -82,10 +85,9 @@
 	// partitionCheckInterval is how often this proxy checks for a partition of
 	// its availability zone.
 	partitionCheckInterval = 150 * time.Millisecond
-	// maxPartitionReachable is the share of all targets up to which those that
-	// still answer may be the targets of a single availability zone, one of
-	// three.
-	maxPartitionReachable = 0.4
+	// maxZoneTargetShare is the largest share of all targets that one availability
+	// zone is expected to have: about a third, as there are three zones.
+	maxZoneTargetShare = 0.4
 	// partitionQueryTimeout bounds the wait for a proxy of another zone.
 	partitionQueryTimeout = 250 * time.Millisecond
 )
@@ -103,8 +105,8 @@
 	}
 }
 
-// mostTargetsUnreachable reports whether no more targets answer than a single
-// zone has.
+// mostTargetsUnreachable reports whether so few targets answer that all of them
+// may be in a single zone.
 func (n *Node) mostTargetsUnreachable() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,12 +116,12 @@
 		targets += t
 		answering += a
 	}
-	return targets > 1 && float64(answering) <= maxPartitionReachable*float64(targets)
+	return targets > 1 && float64(answering) <= maxZoneTargetShare*float64(targets)
 }
 
 // otherZonesReachable reports whether a proxy of another zone answers. It
 // returns true if no proxy is registered there, as then no other proxy could
-// serve this proxy's callers.
+// serve this proxy's clients.
 func (n *Node) otherZonesReachable(ctx context.Context) bool {
 	zones := make(map[rosemary.ProxyID]rosemary.Zone)
 	otherZones := false
@@ -132,6 +134,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, partitionQueryTimeout)
 	defer cancel()
+	// The question names no target; any reply shows that the peer is reachable.
 	replies, _ := n.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutReachability})
 	for _, r := range replies {
 		if zones[r.From] != n.config.Self.Zone {
@@ -149,7 +152,7 @@
 		members := n.locks.Members()
 		n.mesh.AddMembers(members)
 		if len(members) != memberCount {
-			// The shares of the connections depend on the number of proxies.
+			// The connection limits depend on the number of proxies.
 			memberCount = len(members)
 			n.updateGroups(false)
 		}
@@ -163,7 +166,7 @@
 // membersPollInterval returns the interval between checks of the registered
 // proxies. It is shorter at startup, when other proxies may be starting too.
 func (n *Node) membersPollInterval() time.Duration {
-	if time.Since(n.started) < startupTime {
+	if time.Since(n.startedAt) < startupTime {
 		return membersInterval / 5
 	}
 	return membersInterval
@@ -176,16 +179,18 @@
 func (n *Node) allowPrimary() bool { return !n.isolated.Load() }
 
 // configurationText returns the text of the configuration in force, for a peer.
-// The digest is empty, as there are no other parts.
+// It is the part with an empty digest; unlike a bundle, a configuration has no
+// others.
 func (n *Node) configurationText(digest string) (string, bool) {
-	c := n.configuration.Load()
-	if c == nil || digest != "" {
+	configuration := n.configuration.Load()
+	if configuration == nil || digest != "" {
 		return "", false
 	}
-	return c.Text, true
+	return configuration.Text, true
 }
 
-// handlePeerEvent handles a change reported by the mesh.
+// handlePeerEvent handles a change reported by the mesh. Its bundle version is the
+// version of a configuration.
 func (n *Node) handlePeerEvent(event rosepeer.Event) {
 	switch {
 	case event.BundleVersion > 0:
@@ -198,11 +203,11 @@
 // fetchFromPeer fetches a configuration from a peer unless it arrives from the
 // store first.
 func (n *Node) fetchFromPeer(from rosemary.ProxyID, version int64) {
-	if !n.fetching.CompareAndSwap(false, true) {
+	if !n.fetchingConfiguration.CompareAndSwap(false, true) {
 		return
 	}
-	n.tasks.Go(func() {
-		defer n.fetching.Store(false)
+	n.goroutines.Go(func() {
+		defer n.fetchingConfiguration.Store(false)
 		ctx, cancel := context.WithTimeout(n.runContext(), peerFetchTimeout)
 		defer cancel()
 		roseclock.Sleep(ctx, peerFetchDelay)
@@ -258,42 +263,42 @@
 	return rosewire.Reply{}
 }
 
-// Abstain asks all not to claim failover locks for a while, and returns those
-// that promised it.
+// RequestAbstention asks all linked peers not to claim failover locks for a while,
+// and returns those that promised it.
 func (p peers) RequestAbstention(ctx context.Context) []rosemary.ProxyID {
 	replies, _ := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutAbstain})
 	return agreedPeers(replies)
 }
 
-// PollReachability counts the proxies that replied, those that reach a target,
-// and those that don't.
-func (p peers) PollReachability(ctx context.Context, group string, target rosemary.TargetID) (replied, reach, miss int) {
+// PollReachability asks all linked peers whether they reach a target. It counts
+// those that replied, those that reach it, and those that don't.
+func (p peers) PollReachability(ctx context.Context, group string, target rosemary.TargetID) (replied, reachedBy, notReachedBy int) {
 	replies, _ := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutReachability, Group: group, Target: string(target)})
 	for _, r := range replies {
 		switch {
 		case r.Yes:
-			reach++
+			reachedBy++
 		case r.Known:
-			miss++
+			notReachedBy++
 		}
 	}
-	return len(replies), reach, miss
+	return len(replies), reachedBy, notReachedBy
 }
 
-// StopUsingPrimary asks all to stop using the primary of term, and returns
-// those that have.
+// RevokePrimary asks all linked peers to stop using the primary of term. It
+// returns those that have, and all that were asked.
 func (p peers) RevokePrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID) {
 	replies, asked := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutPrimaryRevoked, Group: group, Term: term})
 	return agreedPeers(replies), asked
 }
 
-// Suspect tells all that the target has just failed to answer this proxy, so
-// that they sample it at once.
+// Suspect tells all linked peers that the target has just failed to answer this
+// proxy, so that they sample it at once.
 func (p peers) Suspect(ctx context.Context, group string, target rosemary.TargetID) {
 	p.notifyAll(ctx, rosepeer.AboutPrimarySuspected, group, target)
 }
 
-// ReportUnreachable tells all that this proxy can't reach the target.
+// ReportUnreachable tells all linked peers that this proxy can't reach the target.
 func (p peers) ReportUnreachable(ctx context.Context, group string, target rosemary.TargetID) {
 	p.notifyAll(ctx, rosepeer.AboutPrimaryUnreachable, group, target)
 }
--- a/internal/rosenode/placement.go
+++ b/internal/rosenode/placement.go
@@ -32,7 +32,7 @@
 // Run runs a statement outside a transaction.
 func (p placement) Run(ctx context.Context, task rosecaller.Task) rosecaller.Result {
 	var last *rosecaller.Result
-	for _, home := range p.relayHomes(task) {
+	for _, home := range p.relayCandidates(task) {
 		result, delivery := p.node.relayClient.Run(ctx, home, task)
 		if delivery == roserelay.Unanswered {
 			result = rosecaller.ConnectionLostResult(task, result.Target, false, false)
@@ -53,7 +53,7 @@
 // Begin opens a transaction with its first statement.
 func (p placement) Begin(ctx context.Context, task rosecaller.Task) (rosecaller.Transaction, rosecaller.Result) {
 	var last *rosecaller.Result
-	for _, home := range p.relayHomes(task) {
+	for _, home := range p.relayCandidates(task) {
 		transaction, result, delivery := p.node.relayClient.Begin(ctx, home, task)
 		if delivery == roserelay.Unanswered {
 			result = rosecaller.ConnectionLostResult(task, result.Target, true, false)
@@ -80,7 +80,7 @@
 		return false
 	}
 	repeatable := refusal.Outcome == rosemary.OutcomeNotRun || !task.Statement.Writes && task.Statement.Kind != rosemary.StatementCommit
-	if !repeatable || !p.node.budget.TryWithdraw() {
+	if !repeatable || !p.node.retryBudget.TryWithdraw() {
 		return false
 	}
 	klog.InfoS("request passed on elsewhere", "request", task.Statement.ID, "group", task.Route.Group, "home", home.Proxy,
@@ -109,9 +109,9 @@
 	return l.node.executor.Begin(ctx, task)
 }
 
-// serveTemporarily keeps the targets of a group whose homes are other proxies.
-// The targets known here may be outdated, so they are read again unless the
-// group was already being served.
+// serveTemporarily has this proxy serve a group whose homes are other proxies for
+// temporaryServeTime. The targets known here may be outdated, so they are read
+// again unless the group was already being served.
 func (n *Node) serveTemporarily(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -131,12 +131,12 @@
 	}
 }
 
-// relayHomes returns the home proxies to relay a task to, and adds to the retry
-// budget if there are any.
-func (p placement) relayHomes(task rosecaller.Task) []rosemary.Member {
+// relayCandidates returns the home proxies to try to relay a task to, and adds to
+// the retry budget if there are any.
+func (p placement) relayCandidates(task rosecaller.Task) []rosemary.Member {
 	homes := p.node.RelayHomes(task.Route.Group)
 	if len(homes) > 0 {
-		p.node.budget.Deposit()
+		p.node.retryBudget.Deposit()
 	}
 	return homes
 }
@@ -144,11 +144,11 @@
 // RelayHomes returns the live home proxies that tasks of a group are relayed to,
 // those of this proxy's zone first. It returns none if this proxy is a home.
 func (n *Node) RelayHomes(group string) []rosemary.Member {
-	c := n.configuration.Load()
-	if c == nil {
+	configuration := n.configuration.Load()
+	if configuration == nil {
 		return nil
 	}
-	homes := n.homesForGroup(group, c)
+	homes := n.homesForGroup(group, configuration)
 	if isHome(n.config.Self.Proxy, homes) {
 		return nil
 	}
