--- a/internal/rosesettings/settings.go
+++ b/internal/rosesettings/settings.go
@@ -1,6 +1,6 @@
 // Package rosesettings reads the settings of a rosemaryd process, such as its
 // addresses, zone and keys. Configuration that all proxies share is in the
-// bundle.
+// bundle or, with rosemaryd -platform, in the platform's metadata store.
 package rosesettings
 
 import (
@@ -21,7 +21,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesession"
 )
 
-// Settings holds the settings of a process that is configured by a bundle.
+// Settings holds the settings of a process that is configured by a bundle. For
+// rosemaryd -platform, see PlatformSettings.
 type Settings struct {
 	// Name identifies the proxy, and is its name in the VM list.
 	Name string
@@ -46,7 +47,7 @@
 
 // Listen holds the addresses that the process listens on.
 type Listen struct {
-	// Callers is for applications.
+	// Callers is for clients.
 	Callers string
 	// Peers is for other proxies.
 	Peers string
@@ -54,11 +55,11 @@
 	Admin string
 }
 
-// TLS configures encryption of callers' connections.
+// TLS configures encryption of the connections from clients.
 type TLS struct {
 	Certificate string
 	Key         string
-	// Required makes the proxy refuse unencrypted connections.
+	// Required makes the proxy refuse unencrypted connections from clients.
 	Required bool
 }
 
@@ -82,7 +83,7 @@
 	Address string
 }
 
-// Store configures access to the platform's store and VM list.
+// Store configures access to the platform's key-value store (etcd) and VM list.
 type Store struct {
 	Address string
 	// Prefix is put before every key.
@@ -97,7 +98,7 @@
 
 // Limits bounds the work of the process.
 type Limits struct {
-	// Callers is the maximum number of concurrent callers.
+	// Callers is the maximum number of connections from clients.
 	Callers int
 	// DrainTime bounds a graceful shutdown.
 	DrainTime rosebundle.Duration
@@ -204,8 +205,8 @@
 	return rosesession.NewKeys(keys...)
 }
 
-// CallerTLS returns the TLS configuration for callers, or nil if no certificate
-// is set.
+// CallerTLS returns the TLS configuration for connections from clients, or nil if
+// no certificate is set.
 func (s Settings) CallerTLS() (*tls.Config, error) {
 	if s.TLS.Certificate == "" {
 		return nil, nil
--- a/internal/rosesettings/settings_test.go
+++ b/internal/rosesettings/settings_test.go
@@ -16,7 +16,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// checkGolden compares got with a golden file.
+// checkGolden compares got with a golden file, or rewrites the file if -update is
+// set.
 func checkGolden(c *qt.C, name, got string) {
 	path := filepath.Join("testdata", name)
 	if *update {
--- a/internal/rosesettings/vm.go
+++ b/internal/rosesettings/vm.go
@@ -12,15 +12,17 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosebundle"
 )
 
-// PlatformSettings holds the settings of a process whose targets and configuration are
-// in the platform's store.
+// PlatformSettings holds the settings of a process whose targets and
+// configuration are in the platform's metadata store (rosemaryd -platform).
 type PlatformSettings struct {
 	// Name identifies the proxy.
 	Name string
 	// Zone is the availability zone that the VM is in.
-	Zone   string
+	Zone string
+	// Region isn't used.
 	Region string
-	// Seeds are the admin addresses of some proxies; they may be outdated.
+	// Seeds are the admin addresses of some proxies, which may be outdated. They
+	// aren't used.
 	Seeds  []string
 	Listen PlatformListen
 	Store  Address
@@ -31,11 +33,11 @@
 
 // PlatformListen holds the addresses that the process listens on.
 type PlatformListen struct {
-	// Callers is for applications.
+	// Callers is for clients.
 	Callers string
-	// Ready is for the readiness checks of the balancer.
+	// Ready is for the readiness checks of the load balancer.
 	Ready string
-	// Admin is for metrics and operators' requests.
+	// Admin is for metrics.
 	Admin string
 	// Peers is for other proxies.
 	Peers string
@@ -53,7 +55,8 @@
 	CoreShare float64
 	// MemoryMb is the memory that the process may use, in MiB.
 	MemoryMb int
-	// Descriptors is the number of file descriptors that it may open.
+	// Descriptors is the number of file descriptors that it may open. It isn't
+	// used.
 	Descriptors int
 	// GraceTime is how long a shutdown may take.
 	GraceTime rosebundle.Duration
@@ -96,7 +99,7 @@
 			faults = append(faults, rosebundle.Fault{Key: key, Problem: problem, Remedy: remedy})
 		}
 	}
-	add(v.Name == "", "Name", "it is empty", "name the VM")
+	add(v.Name == "", "Name", "it is empty", "give the proxy the name of its VM")
 	add(v.Zone == "", "Zone", "it is empty", "name the availability zone of this VM")
 	addresses := []struct{ key, address string }{
 		{"Listen.Callers", v.Listen.Callers},
