--- a/internal/rosefront/answer.go
+++ b/internal/rosefront/answer.go
@@ -16,17 +16,20 @@
 )
 
 // answer buffers the messages for a client. The completion of a write is
-// withheld until the write is confirmed. Nothing is sent below streamThreshold,
-// because a request can't be retried once a part of its answer was sent.
+// withheld until the write is confirmed. An incomplete answer is buffered up to
+// streamThreshold, because a request can't be retried once a part of its answer
+// was sent.
 type answer struct {
 	client *client
 	bytes  []byte
 	// holdCompletion withholds the messages from the first CommandComplete or
 	// ErrorResponse on.
 	holdCompletion bool
+	// completionHeld is set while such a message is withheld.
 	completionHeld bool
-	streamed       bool
-	err            error
+	// streamed is set once a part of the answer was sent.
+	streamed bool
+	err      error
 }
 
 // send appends a message.
@@ -65,8 +68,8 @@
 	a.reset()
 }
 
-// finish sends the remaining messages. The error may be that of the client's
-// connection.
+// finish sends the remaining messages. It returns the error of an earlier send or
+// flush if there was one.
 func (a *answer) finish() error {
 	a.flush()
 	return a.err
--- a/internal/rosefront/authenticate.go
+++ b/internal/rosefront/authenticate.go
@@ -81,8 +81,9 @@
 	return tenant, nil
 }
 
-// verify runs the SCRAM exchange. An unknown tenant gets the same exchange, so
-// that clients can't probe for tenant names.
+// verify runs the SCRAM exchange. An unknown tenant gets the same exchange with
+// random credentials, so that one failed login doesn't tell whether the tenant
+// exists.
 func (s *Server) verify(backend *pgproto3.Backend, tenant rosemary.Tenant, found bool) error {
 	stored, err := parseVerifier(tenant.Verifier)
 	if !found || err != nil {
@@ -94,14 +95,15 @@
 	}
 	conversation := server.NewConversation()
 	backend.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{scramMechanism}})
-	if err := exchange(backend, pgproto3.AuthTypeSASL, conversation); err != nil {
+	if err := saslStep(backend, pgproto3.AuthTypeSASL, conversation); err != nil {
 		return err
 	}
-	return exchange(backend, pgproto3.AuthTypeSASLContinue, conversation)
+	return saslStep(backend, pgproto3.AuthTypeSASLContinue, conversation)
 }
 
-// exchange flushes the pending messages and answers the client's next one.
-func exchange(backend *pgproto3.Backend, authType uint32, conversation *scram.ServerConversation) error {
+// saslStep flushes the pending messages, receives the client's next one and
+// queues the answer to it.
+func saslStep(backend *pgproto3.Backend, authType uint32, conversation *scram.ServerConversation) error {
 	if err := backend.SetAuthType(authType); err != nil {
 		return trace.Wrap(err)
 	}
--- a/internal/rosefront/batch.go
+++ b/internal/rosefront/batch.go
@@ -6,7 +6,8 @@
 // one simple query, or extended query messages up to Sync or Flush.
 type batch struct {
 	messages []pgproto3.FrontendMessage
-	simple   *pgproto3.Query
+	// simple is the simple query, or nil for the extended query protocol.
+	simple *pgproto3.Query
 	// flush is set when the batch ends with Flush, so the request continues in
 	// the next batch.
 	flush bool
@@ -14,8 +15,8 @@
 	skipping bool
 }
 
-// add appends a copy of message, because the backend reuses its memory. It
-// reports whether the batch is complete.
+// add appends a copy of message, because pgproto3 reuses its memory. It reports
+// whether the batch is complete.
 func (b *batch) add(message pgproto3.FrontendMessage) bool {
 	switch m := message.(type) {
 	case *pgproto3.Query:
--- a/internal/rosefront/caller.go
+++ b/internal/rosefront/caller.go
@@ -22,8 +22,8 @@
 // for a request that is already on its way.
 const drainReadGrace = 20 * time.Millisecond
 
-// client is a client connection and its session. One goroutine serves it;
-// Cancel and Drain access the fields under mu.
+// client is a client connection and its session. One goroutine serves it; the
+// fields below mu are also accessed by Cancel and Drain.
 type client struct {
 	server  *Server
 	conn    net.Conn
@@ -34,12 +34,16 @@
 	pid     uint32
 	secret  uint32
 
-	class            string
-	requestID        string
-	settings         settings
-	prepared         map[string]*preparedStatement
-	unnamedConn      *rosepool.Conn
-	token            string
+	className string
+	requestID string
+	settings  settings
+	prepared  map[string]*preparedStatement
+	// unnamedConn is the leased connection on which the unnamed statement is
+	// prepared.
+	unnamedConn *rosepool.Conn
+	// sentToken is the session token last sent to the client.
+	sentToken string
+	// lease is set during a transaction, and between the parts of a request.
 	lease            *roseroute.Lease
 	transactionClass rosemary.Class
 	// claimedID is the request identifier claimed in the open transaction.
@@ -52,11 +56,14 @@
 	cancelPending bool
 	closed        bool
 
-	mu          sync.Mutex
-	draining    bool
-	pinned      bool
+	mu       sync.Mutex
+	draining bool
+	// pinned is whether lease is set, for drain.
+	pinned bool
+	// runningConn is the connection that receives cancel requests, and
+	// cancelSent is set when it got one.
 	runningConn *rosepool.Conn
-	cancelled   bool
+	cancelSent  bool
 }
 
 func newClient(s *Server, conn net.Conn, backend *pgproto3.Backend, tenant rosemary.Tenant, router *roseroute.Router, session rosesession.Session) *client {
@@ -79,8 +86,8 @@
 		c.backend.Send(&pgproto3.ParameterStatus{Name: p[0], Value: p[1]})
 	}
 	c.backend.Send(&pgproto3.ParameterStatus{Name: settingSession, Value: c.session.Name})
-	c.token = c.server.config.TokenKeys.Sign(c.session)
-	c.backend.Send(&pgproto3.ParameterStatus{Name: settingToken, Value: c.token})
+	c.sentToken = c.server.config.TokenKeys.Sign(c.session)
+	c.backend.Send(&pgproto3.ParameterStatus{Name: settingToken, Value: c.sentToken})
 	c.backend.Send(&pgproto3.BackendKeyData{ProcessID: c.pid, SecretKey: binary.BigEndian.AppendUint32(nil, c.secret)})
 	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 }
@@ -119,6 +126,7 @@
 		case *pgproto3.Terminate:
 			return
 		case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
+			// PostgreSQL ignores these outside COPY, too.
 			continue
 		}
 		if !b.add(message) {
@@ -174,8 +182,8 @@
 	_ = c.flush()
 }
 
-// drain makes the session end outside a transaction, after drainReadGrace for a
-// further request.
+// drain ends the session once it has no open transaction and its client has sent
+// nothing for drainReadGrace.
 func (c *client) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -250,15 +258,16 @@
 }
 
 // setRunningConn sets the connection that receives cancel requests. It reports
-// whether one was sent to the previous connection: it may arrive late and
-// cancel a later statement, so that connection must not serve another session.
+// whether the previous connection got one. Such a connection must not serve
+// another session, because the request may take effect late and cancel a later
+// statement.
 func (c *client) setRunningConn(conn *rosepool.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cancelled := c.cancelled
+	cancelSent := c.cancelSent
 	c.runningConn = conn
-	c.cancelled = false
-	return cancelled
+	c.cancelSent = false
+	return cancelSent
 }
 
 // cancelStatement forwards a cancel request to the target that runs the
@@ -266,7 +275,7 @@
 func (c *client) cancelStatement() {
 	c.mu.Lock()
 	conn := c.runningConn
-	c.cancelled = conn != nil
+	c.cancelSent = conn != nil
 	c.mu.Unlock()
 	if conn == nil {
 		return
--- a/internal/rosefront/execute.go
+++ b/internal/rosefront/execute.go
@@ -36,11 +36,12 @@
 	}
 	c.setRunningConn(lease.Conn)
 	err = e.run(ctx)
-	e.cancelled = c.setRunningConn(nil)
+	e.cancelSent = c.setRunningConn(nil)
 	return e.finish(ctx, err)
 }
 
-// leaseFor returns the lease of the open transaction, or acquires one.
+// leaseFor returns the lease of the open transaction or of earlier parts of the
+// request, or acquires one.
 func (c *client) leaseFor(ctx context.Context, r *request) (*roseroute.Lease, error) {
 	if c.lease != nil {
 		return c.lease, nil
@@ -54,7 +55,7 @@
 }
 
 // applySettings applies the session's settings to the connection. It does
-// nothing in a transaction.
+// nothing in a transaction, whose connection got them before BEGIN.
 func (c *client) applySettings(ctx context.Context, conn *rosepool.Conn) error {
 	wanted := c.settings.fingerprint()
 	if conn.SettingsFingerprint == wanted || conn.TxStatus() != 'I' {
@@ -73,12 +74,15 @@
 
 // execution is one attempt to run a request on a connection.
 type execution struct {
-	request         *request
-	lease           *roseroute.Lease
-	inTransaction   bool
-	cancelled       bool
-	requestSent     bool
-	claimError      *pgproto3.ErrorResponse
+	request       *request
+	lease         *roseroute.Lease
+	inTransaction bool
+	cancelSent    bool
+	requestSent   bool
+	// claimError is the target's error in response to the claim.
+	claimError *pgproto3.ErrorResponse
+	// position is the target's answer to positionQuery, and positionQueried is
+	// set if the exchange included that query.
 	position        rosemary.Position
 	positionQueried bool
 }
@@ -105,17 +109,18 @@
 		return err
 	}
 	if reader.failed && evicted {
+		// The target may have skipped the Close of the evicted statement.
 		conn.Close()
 	}
 	if reader.failed {
 		r.dropFailedParses(conn)
 	}
 	e.finishClaim()
-	return e.queryPosition(ctx)
+	return e.recordPosition(ctx)
 }
 
-// steps combines the claim, the request and the query for the position of its
-// writes in one exchange.
+// steps combines the claim, the request and positionQuery in one exchange, to
+// save round trips.
 func (e *execution) steps(reader *replyReader, messages []pgproto3.FrontendMessage) []rosepool.Step {
 	r := e.request
 	body := rosepool.Step{Messages: messages, Receive: reader.receive}
@@ -143,6 +148,7 @@
 	return steps
 }
 
+// positionQuery returns the log position of the connection's last commit.
 var positionQuery = &pgproto3.Query{String: "SELECT rosemary.position()"}
 
 func oneMessage(message pgproto3.FrontendMessage) []pgproto3.FrontendMessage {
@@ -216,8 +222,8 @@
 	}
 }
 
-// claimOutcome returns the outcome of the first run, which the error detail of
-// a repeated claim ends with.
+// claimOutcome returns the outcome of the first run. The error detail of a
+// repeated claim ends with the recorded state, "ran" or "abandoned".
 func claimOutcome(detail string) string {
 	const ran = "ran"
 	if len(detail) >= len(ran) && detail[len(detail)-len(ran):] == ran {
@@ -226,9 +232,10 @@
 	return "did not run"
 }
 
-// queryPosition records the position of a transaction that has ended. It queries
-// the position if the exchange did not include that.
-func (e *execution) queryPosition(ctx context.Context) error {
+// recordPosition records the log position of a transaction that has ended. It
+// sends positionQuery if the exchange did not include it. Without a new commit
+// with writes, the position is still that of LastCommit.
+func (e *execution) recordPosition(ctx context.Context) error {
 	conn := e.lease.Conn
 	if e.lease.Replica || conn.TxStatus() != 'I' || conn.Broken() {
 		return nil
@@ -267,14 +274,15 @@
 	return nil
 }
 
-// dropFailedParses removes the statements that the target failed to prepare.
+// dropFailedParses removes the statements that the target failed to prepare from
+// the session's prepared statements.
 func (r *request) dropFailedParses(conn *rosepool.Conn) {
 	for _, message := range r.batch.messages {
 		m, isParse := message.(*pgproto3.Parse)
 		if !isParse || m.Name == "" {
 			continue
 		}
-		if p := r.client.prepared[m.Name]; p != nil && !conn.HasPrepared(p.serverName) {
+		if p := r.client.prepared[m.Name]; p != nil && !conn.HasPrepared(p.targetName) {
 			delete(r.client.prepared, m.Name)
 		}
 	}
--- a/internal/rosefront/filter_check.go
+++ b/internal/rosefront/filter_check.go
@@ -9,7 +9,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-// checkFilter refuses requests that can't be served on a shared connection.
+// checkFilter refuses requests of an unknown class, those that violate the
+// protocol, and those that can't be served on a shared connection.
 func checkFilter(s *Server, next handler) handler {
 	return func(ctx context.Context, r *request) error {
 		s.retryBudget.Deposit()
@@ -22,7 +23,7 @@
 				return refuse(rosemary.KindUnsupported, "the function call protocol is not supported", "call the function with SELECT")
 			case *pgproto3.Query:
 				if len(r.batch.messages) > 1 {
-					return refuse(rosemary.KindProtocol, "simple query before the Sync of an extended query", "send Sync before the query")
+					return refuse(rosemary.KindProtocol, "a simple query was sent before the Sync that ends an extended query", "send Sync before the simple query")
 				}
 			}
 		}
--- a/internal/rosefront/filter_claim.go
+++ b/internal/rosefront/filter_claim.go
@@ -10,12 +10,13 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-// claimPlacement determines where the claim of a request identifier is sent.
+// claimPlacement determines where a batch claims the request's identifier, an
+// idempotency key that the target records with the writes of the transaction.
 type claimPlacement int
 
 const (
 	claimNone claimPlacement = iota
-	// claimWrapped opens a transaction for the claim and the request.
+	// claimWrapped runs the claim and the request in a transaction of their own.
 	claimWrapped
 	// claimBefore precedes the request in the client's transaction.
 	claimBefore
@@ -34,6 +35,7 @@
 			return err
 		}
 		if r.claimPlacement != claimNone {
+			// rosemary.request applies to a single request.
 			r.client.requestID = ""
 		}
 		if r.claimedOutcome != "" {
@@ -43,6 +45,8 @@
 	}
 }
 
+// planClaim sets claimPlacement. It refuses requests whose identifier can't be
+// claimed in their own transaction.
 func (r *request) planClaim() error {
 	r.claimPlacement = claimNone
 	if r.requestID == "" || !r.executes || r.class.ReadOnly && !r.forcePrimary || r.client.claimedID == r.requestID {
--- a/internal/rosefront/filter_confirm.go
+++ b/internal/rosefront/filter_confirm.go
@@ -41,7 +41,7 @@
 		return &rosemary.Refusal{
 			Kind:    rosemary.KindUnconfirmed,
 			Outcome: rosemary.OutcomeUnknown,
-			Message: "the write reached the primary but was not confirmed before the deadline",
+			Message: "the write reached the primary but was not confirmed by a quorum of targets before the deadline",
 			Remedy:  "query rosemary.outcome(request), or read the row from the primary",
 		}
 	case state == rosemary.RecordLost:
--- a/internal/rosefront/filter_floor.go
+++ b/internal/rosefront/filter_floor.go
@@ -7,8 +7,9 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// minPositionFilter determines the minimum position of a session that was named
-// without a token, before its first read from a replica.
+// minPositionFilter determines the minimum position of a session before a read,
+// if it is unknown: after a write of unknown outcome, or when the client set the
+// session's name without its token.
 func minPositionFilter(_ *Server, next handler) handler {
 	return func(ctx context.Context, r *request) error {
 		c := r.client
--- a/internal/rosefront/filter_local.go
+++ b/internal/rosefront/filter_local.go
@@ -19,7 +19,7 @@
 		if !r.allOfKinds(rosestatement.KindProxySet, rosestatement.KindProxyShow, rosestatement.KindSessionSet,
 			rosestatement.KindReset, rosestatement.KindDiscard, rosestatement.KindDeallocate) {
 			if r.hasKind(rosestatement.KindProxySet) || r.hasKind(rosestatement.KindSessionSet) || r.hasKind(rosestatement.KindDiscard) {
-				return refuse(rosemary.KindUnsupported, "SET or DISCARD can't be combined with other statements in one message", "send it in a separate message")
+				return refuse(rosemary.KindUnsupported, "SET or DISCARD can't be combined with other statements in one request", "send it in a separate request")
 			}
 			return next(ctx, r)
 		}
@@ -65,14 +65,14 @@
 func (r *request) answerLocally() error {
 	if r.batch.simple != nil {
 		for _, s := range r.statements {
-			tag, shown, err := r.client.runLocally(s)
+			tag, result, err := r.client.runLocally(s)
 			if err != nil {
 				return err
 			}
-			if shown != nil {
-				r.answer.send(shownDescription(shown.name))
+			if result != nil {
+				r.answer.send(showDescription(result.name))
 			}
-			r.sendShown(tag, shown)
+			r.sendResult(tag, result)
 		}
 		return nil
 	}
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// answerMessage answers one message. Without statements, tag is the command tag
-// of the answer.
+// answerMessage answers one message by running the first of statements. If there
+// is none, it only answers, with tag as the command tag.
 func (r *request) answerMessage(message pgproto3.FrontendMessage, tag string, statements []rosestatement.Statement) error {
 	switch m := message.(type) {
 	case *pgproto3.Query:
@@ -102,7 +102,7 @@
 			r.answer.send(&pgproto3.ParameterDescription{})
 		}
 		if len(statements) > 0 && statements[0].Kind() == rosestatement.KindProxyShow {
-			r.answer.send(shownDescription(statements[0].Setting()))
+			r.answer.send(showDescription(statements[0].Setting()))
 			return nil
 		}
 		r.answer.send(&pgproto3.NoData{})
@@ -111,29 +111,30 @@
 			r.answer.send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 			return nil
 		}
-		commandTag, shown, err := r.client.runLocally(statements[0])
+		commandTag, result, err := r.client.runLocally(statements[0])
 		if err != nil {
 			return err
 		}
-		r.sendShown(commandTag, shown)
+		r.sendResult(commandTag, result)
 	}
 	return nil
 }
 
-// shownSetting is the result of a SHOW.
-type shownSetting struct {
+// showResult is the result of a SHOW.
+type showResult struct {
 	name  string
 	value string
 }
 
-func (r *request) sendShown(tag string, shown *shownSetting) {
-	if shown != nil {
-		r.answer.send(&pgproto3.DataRow{Values: [][]byte{[]byte(shown.value)}})
+// sendResult completes a statement; result is nil unless it is a SHOW.
+func (r *request) sendResult(tag string, result *showResult) {
+	if result != nil {
+		r.answer.send(&pgproto3.DataRow{Values: [][]byte{[]byte(result.value)}})
 	}
 	r.answer.send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 }
 
-func shownDescription(name string) *pgproto3.RowDescription {
+func showDescription(name string) *pgproto3.RowDescription {
 	const oidText = 25
 	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{
 		{Name: []byte(name), DataTypeOID: oidText, DataTypeSize: -1, TypeModifier: -1},
@@ -141,11 +142,11 @@
 }
 
 // runLocally runs one statement and returns its command tag.
-func (c *client) runLocally(s rosestatement.Statement) (string, *shownSetting, error) {
+func (c *client) runLocally(s rosestatement.Statement) (string, *showResult, error) {
 	switch s.Kind() {
 	case rosestatement.KindProxyShow:
 		value, err := c.show(s.Setting())
-		return "SHOW", &shownSetting{name: s.Setting(), value: value}, err
+		return "SHOW", &showResult{name: s.Setting(), value: value}, err
 	case rosestatement.KindReset:
 		return "RESET", nil, c.reset(s.Setting())
 	case rosestatement.KindDiscard:
@@ -163,7 +164,7 @@
 	case "all":
 		clear(c.settings)
 	case settingClass:
-		c.class = ""
+		c.className = ""
 	case settingRequest:
 		c.requestID = ""
 	default:
--- a/internal/rosefront/filter_retry.go
+++ b/internal/rosefront/filter_retry.go
@@ -14,7 +14,8 @@
 // The write has not run.
 const readOnlySQLState = "25006"
 
-// retryInterval separates attempts while the primary of a group changes.
+// retryInterval is the pause before a retry. It limits the number of attempts
+// while the primary of a group changes.
 const retryInterval = 10 * time.Millisecond
 
 // retryFilter retries a request that has not run or may safely run twice,
--- a/internal/rosefront/handshake.go
+++ b/internal/rosefront/handshake.go
@@ -16,8 +16,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesession"
 )
 
-// Settings of the proxy. Clients may pass them as startup parameters or in
-// options.
+// Session settings that only the proxy knows. Clients may set them with SET, as
+// startup parameters or in the startup parameter options.
 const (
 	settingToken   = "rosemary.token"
 	settingSession = "rosemary.session"
@@ -26,7 +26,7 @@
 )
 
 // handshake processes all messages before the first request. The client is nil
-// if the connection was only a cancel request.
+// if the connection only served to send a cancel request.
 func (s *Server) handshake(conn net.Conn, overLimit bool) (*client, error) {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	encrypted := false
@@ -103,9 +103,9 @@
 }
 
 // openSession authenticates the client and opens its session. The error is a
-// *rosemary.Refusal or that of the connection.
+// *rosemary.Refusal.
 func (s *Server) openSession(conn net.Conn, backend *pgproto3.Backend, m *pgproto3.StartupMessage, overLimit, encrypted bool) (*client, error) {
-	if err := s.checkAccepting(overLimit, encrypted); err != nil {
+	if err := s.checkAdmission(overLimit, encrypted); err != nil {
 		return nil, err
 	}
 	tenant, err := s.authenticate(backend, m.Parameters["user"])
@@ -119,7 +119,7 @@
 	router, found := s.config.Directory.Router(database)
 	if !found || !mayUseDatabase(tenant, database) {
 		return nil, refuse(rosemary.KindUnknownDatabase, "database "+quote(database)+" does not exist or is not allowed for tenant "+quote(tenant.Name),
-			"check the database name and the tenant's Databases")
+			"check the database name, and the tenant's Databases in the bundle")
 	}
 	c := newClient(s, conn, backend, tenant, router, rosesession.NewSession(tenant.Name, database))
 	given := startupSettings(m.Parameters)
@@ -133,12 +133,12 @@
 	return c, nil
 }
 
-func (s *Server) checkAccepting(overLimit, encrypted bool) error {
+func (s *Server) checkAdmission(overLimit, encrypted bool) error {
 	switch {
 	case s.Draining():
 		return refuse(rosemary.KindDraining, "this proxy is shutting down", "reconnect; the load balancer will choose another proxy")
 	case overLimit:
-		return refuse(rosemary.KindOverloaded, "this proxy has reached its limit of connections", "reconnect later")
+		return refuse(rosemary.KindOverloaded, "this proxy has reached its connection limit", "reconnect later")
 	case s.config.RequireTLS && !encrypted:
 		return refuse(rosemary.KindAuthentication, "this proxy accepts encrypted connections only", "connect with sslmode=require")
 	}
@@ -155,20 +155,21 @@
 }
 
 // startupSettings returns the settings given at startup, as parameters or as
-// "-c name=value" or "--name=value" in options.
+// "-c name=value" or "--name=value" in options. It ignores those that the proxy
+// neither has nor tracks.
 func startupSettings(parameters map[string]string) map[string]string {
 	settings := make(map[string]string)
 	fields := strings.Fields(parameters["options"])
 	for i, f := range fields {
-		pair, inline := strings.CutPrefix(f, "-c")
-		if !inline {
-			pair, inline = strings.CutPrefix(f, "--")
+		pair, isOption := strings.CutPrefix(f, "-c")
+		if !isOption {
+			pair, isOption = strings.CutPrefix(f, "--")
 		}
 		if pair == "" && i+1 < len(fields) {
 			pair = fields[i+1]
 		}
 		name, value, found := strings.Cut(pair, "=")
-		if inline && found {
+		if isOption && found {
 			settings[strings.ToLower(name)] = value
 		}
 	}
@@ -189,6 +190,7 @@
 
 func quote(text string) string { return `"` + text + `"` }
 
+// refuse returns a refusal of a request that has not run.
 func refuse(kind rosemary.RefusalKind, message, remedy string) *rosemary.Refusal {
 	return &rosemary.Refusal{Kind: kind, Outcome: rosemary.OutcomeNotRun, Message: message, Remedy: remedy}
 }
--- a/internal/rosefront/handshake_test.go
+++ b/internal/rosefront/handshake_test.go
@@ -41,13 +41,13 @@
 }
 
 // serve starts a server and returns its address.
-func serve(t testing.TB, change func(*rosefront.Config)) string {
+func serve(t testing.TB, configure func(*rosefront.Config)) string {
 	verifier, err := rosefront.NewVerifier("s3cret")
 	qt.New(t).Assert(err, qt.IsNil)
 	keys, err := rosesession.NewKeys([]byte("a key that is long enough"))
 	qt.New(t).Assert(err, qt.IsNil)
 	config := rosefront.Config{Directory: directory{verifier}, TokenKeys: keys, MaxClients: 10}
-	change(&config)
+	configure(&config)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.New(t).Assert(err, qt.IsNil)
 	server := rosefront.NewServer(config)
@@ -86,7 +86,7 @@
 		config.RequireTLS = true
 	})
 	for _, test := range []struct {
-		name, address, user, password, database, mode, state string
+		name, address, user, password, database, sslMode, sqlState string
 	}{
 		{"right password", plain, "clerk", "s3cret", "db", "disable", ""},
 		{"wrong password", plain, "clerk", "guess", "db", "disable", "28P01"},
@@ -96,14 +96,14 @@
 		{"encryption missing", encrypted, "clerk", "s3cret", "db", "disable", "28P01"},
 	} {
 		c.Run(test.name, func(c *qt.C) {
-			err := login(test.address, test.user, test.password, test.database, test.mode)
+			err := login(test.address, test.user, test.password, test.database, test.sslMode)
 			var refused *pgconn.PgError
-			if test.state == "" {
+			if test.sqlState == "" {
 				c.Assert(err, qt.IsNil)
 				return
 			}
 			c.Assert(errors.As(err, &refused), qt.IsTrue, qt.Commentf("%v", err))
-			c.Check(refused.Code, qt.Equals, test.state)
+			c.Check(refused.Code, qt.Equals, test.sqlState)
 			c.Check(refused.Hint, qt.Not(qt.Equals), "")
 		})
 	}
@@ -116,6 +116,7 @@
 	c.Assert(err, qt.IsNil)
 	defer idle.Close()
 	var refused *pgconn.PgError
+	// The server may not have counted the idle connection yet.
 	for !errors.As(login(address, "clerk", "s3cret", "db", "disable"), &refused) {
 		continue
 	}
--- a/internal/rosefront/metrics.go
+++ b/internal/rosefront/metrics.go
@@ -16,12 +16,12 @@
 	set *metrics.Set
 
 	mu       sync.Mutex
-	answered map[servedClass]uint64
+	answered map[answeredKey]uint64
 }
 
 // NewMetrics returns an empty set of metrics.
 func NewMetrics() *Metrics {
-	return &Metrics{set: metrics.NewSet(), answered: make(map[servedClass]uint64)}
+	return &Metrics{set: metrics.NewSet(), answered: make(map[answeredKey]uint64)}
 }
 
 // Set returns the underlying set, for export.
@@ -39,7 +39,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.answered[servedClass{class, served}]++
+	m.answered[answeredKey{class, served}]++
 }
 
 // observeConfirm records how long a write waited for its confirmation.
@@ -51,15 +51,16 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`rosemary_refusals_total{tenant=%q,kind=%q,outcome=%q}`, tenant, kind, outcome)).Inc()
 }
 
-// Answered returns the number of requests of a class that were answered, over
-// all tenants. Served is as in observeRequest.
+// Answered returns the number of requests of a class that were answered by
+// served, over all tenants. Served is "replica", "primary", "proxy" or "none".
 func (m *Metrics) Answered(class, served string) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.answered[servedClass{class, served}]
+	return m.answered[answeredKey{class, served}]
 }
 
-type servedClass struct {
+// answeredKey is the key of the counters of answered requests.
+type answeredKey struct {
 	class  string
 	served string
 }
--- a/internal/rosefront/prepared.go
+++ b/internal/rosefront/prepared.go
@@ -18,11 +18,11 @@
 
 // preparedStatement is a statement that a client prepared through the extended
 // query protocol. It belongs to the session: each target connection prepares it
-// under serverName.
+// under targetName.
 type preparedStatement struct {
 	query         string
 	parameterOIDs []uint32
-	serverName    string
+	targetName    string
 	script        rosestatement.Script
 }
 
@@ -36,49 +36,50 @@
 	for _, oid := range m.ParameterOIDs {
 		hash.Write([]byte{byte(oid >> 24), byte(oid >> 16), byte(oid >> 8), byte(oid)})
 	}
-	p.serverName = "rose_" + hex.EncodeToString(hash.Sum(nil)[:12])
+	p.targetName = "rose_" + hex.EncodeToString(hash.Sum(nil)[:12])
 	return p
 }
 
 // parse returns the message that prepares the statement at a target.
 func (p *preparedStatement) parse() *pgproto3.Parse {
-	return &pgproto3.Parse{Name: p.serverName, Query: p.query, ParameterOIDs: p.parameterOIDs}
+	return &pgproto3.Parse{Name: p.targetName, Query: p.query, ParameterOIDs: p.parameterOIDs}
 }
 
-// reply is a response expected from the target, or one that the proxy sends
-// itself.
+// reply is the response to one message: one expected from the target, or one
+// that the proxy sends itself.
 type reply struct {
-	// requestType is the type of the message that the reply answers.
-	requestType byte
+	// messageType is the type of the message that the reply answers.
+	messageType byte
 	// hidden replies answer messages that the proxy added.
 	hidden bool
 	// local is sent to the client without a message to the target.
 	local pgproto3.BackendMessage
-	// prepares is the name of the statement that is prepared once the reply
-	// arrives.
+	// prepares is the name of the statement that the target has prepared once
+	// the reply arrives.
 	prepares string
 }
 
-// Message types for requestType.
+// Values of reply.messageType.
 const (
-	replyParse    = 'P'
-	replyBind     = 'B'
-	replyDescribe = 'D'
-	replyExecute  = 'E'
-	replyClose    = 'C'
+	messageParse    = 'P'
+	messageBind     = 'B'
+	messageDescribe = 'D'
+	messageExecute  = 'E'
+	messageClose    = 'C'
 )
 
 // translation is a batch rewritten for one connection.
 type translation struct {
 	messages []pgproto3.FrontendMessage
 	replies  []reply
-	// evicted is set when the batch closes a statement that another session
-	// may have prepared, to make room.
+	// evicted is set when the batch closes a statement, perhaps one of another
+	// session, to make room. If the batch fails, the target may not have closed
+	// it.
 	evicted bool
 }
 
-// translate rewrites an extended query batch for conn, whose prepared
-// statements differ from those of the client.
+// translate rewrites an extended query batch for conn, which may have other
+// statements prepared than the client has.
 func (c *client) translate(b *batch, conn *rosepool.Conn) (*translation, error) {
 	t := &translation{}
 	if len(c.prepared) > maxPreparedPerClient {
@@ -91,15 +92,15 @@
 		case *pgproto3.Bind:
 			bind := *m
 			bind.PreparedStatement = c.ensurePrepared(t, m.PreparedStatement, conn)
-			t.add(&bind, reply{requestType: replyBind})
+			t.add(&bind, reply{messageType: messageBind})
 		case *pgproto3.Describe:
 			describe := *m
 			if m.ObjectType == 'S' {
 				describe.Name = c.ensurePrepared(t, m.Name, conn)
 			}
-			t.add(&describe, reply{requestType: replyDescribe})
+			t.add(&describe, reply{messageType: messageDescribe})
 		case *pgproto3.Execute:
-			t.add(m, reply{requestType: replyExecute})
+			t.add(m, reply{messageType: messageExecute})
 		case *pgproto3.Close:
 			c.translateClose(t, m)
 		default:
@@ -118,15 +119,15 @@
 	p := c.prepared[m.Name]
 	if m.Name == "" {
 		c.unnamedConn = conn
-		t.add(p.parse(), reply{requestType: replyParse})
+		t.add(p.parse(), reply{messageType: messageParse})
 		return
 	}
-	if conn.HasPrepared(p.serverName) || t.prepares(p.serverName) {
+	if conn.HasPrepared(p.targetName) || t.prepares(p.targetName) {
 		t.replies = append(t.replies, reply{local: &pgproto3.ParseComplete{}})
 		return
 	}
 	t.evict(conn)
-	t.add(p.parse(), reply{requestType: replyParse, prepares: p.serverName})
+	t.add(p.parse(), reply{messageType: messageParse, prepares: p.targetName})
 }
 
 // ensurePrepared prepares a statement on conn if needed and returns its name
@@ -138,12 +139,12 @@
 		return name
 	case name == "" && c.unnamedConn != conn:
 		c.unnamedConn = conn
-		t.add(p.parse(), reply{requestType: replyParse, hidden: true})
-	case name != "" && !conn.HasPrepared(p.serverName) && !t.prepares(p.serverName):
+		t.add(p.parse(), reply{messageType: messageParse, hidden: true})
+	case name != "" && !conn.HasPrepared(p.targetName) && !t.prepares(p.targetName):
 		t.evict(conn)
-		t.add(p.parse(), reply{requestType: replyParse, hidden: true, prepares: p.serverName})
+		t.add(p.parse(), reply{messageType: messageParse, hidden: true, prepares: p.targetName})
 	}
-	return p.serverName
+	return p.targetName
 }
 
 func (t *translation) prepares(name string) bool {
@@ -158,12 +159,12 @@
 	}
 	conn.RemovePrepared(oldest)
 	t.evicted = true
-	t.add(&pgproto3.Close{ObjectType: 'S', Name: oldest}, reply{requestType: replyClose, hidden: true})
+	t.add(&pgproto3.Close{ObjectType: 'S', Name: oldest}, reply{messageType: messageClose, hidden: true})
 }
 
 func (c *client) translateClose(t *translation, m *pgproto3.Close) {
 	if m.ObjectType != 'S' {
-		t.add(m, reply{requestType: replyClose})
+		t.add(m, reply{messageType: messageClose})
 		return
 	}
 	delete(c.prepared, m.Name)
--- a/internal/rosefront/replies.go
+++ b/internal/rosefront/replies.go
@@ -14,7 +14,8 @@
 	failed  bool
 }
 
-// receive forwards one message from the target, except ReadyForQuery.
+// receive adds one message from the target to the answer, unless it is
+// ReadyForQuery or belongs to a hidden reply.
 func (rr *replyReader) receive(message pgproto3.BackendMessage) error {
 	answer := rr.request.answer
 	rr.sendLocal()
--- a/internal/rosefront/request.go
+++ b/internal/rosefront/request.go
@@ -30,7 +30,8 @@
 	return chain
 }
 
-// request is a batch that is being served.
+// request is a batch that is being served. If the client uses Flush, its
+// request up to Sync is served in several parts, each a batch.
 type request struct {
 	client         *client
 	batch          *batch
@@ -40,17 +41,21 @@
 	classError     error
 	requestID      string
 	claimPlacement claimPlacement
-	executes       bool
-	answer         *answer
+	// executes is set if the batch runs statements, and doesn't only prepare,
+	// bind or describe them.
+	executes bool
+	answer   *answer
 
 	// forcePrimary is set once a read-only target refused the request as a
 	// write.
 	forcePrimary bool
-	// served is the server that answered, as in Metrics.observeRequest.
+	// served is what answered: "primary", "replica", "proxy", or empty if
+	// nothing did.
 	served string
 	// targetError is the error that the target returned.
 	targetError *pgproto3.ErrorResponse
-	// committed is the position of the request's writes.
+	// committed is the log position of the transaction with writes that the
+	// request committed, or zero.
 	committed rosemary.Position
 	// claimedOutcome is the outcome of the first run if the request's
 	// identifier was already claimed.
@@ -71,7 +76,8 @@
 	return r
 }
 
-// scan collects the statements of the batch.
+// scan collects the statements of the batch, and adds those that it prepares to
+// the session's prepared statements.
 func (r *request) scan() {
 	for _, message := range r.batch.messages {
 		switch m := message.(type) {
@@ -104,28 +110,28 @@
 
 func (r *request) resolveClass() (rosemary.Class, error) {
 	c := r.client
-	standard := rosemary.DefaultClass(c.server.config.DefaultTimeout)
+	defaultClass := rosemary.DefaultClass(c.server.config.DefaultTimeout)
 	if c.lease != nil {
 		return c.transactionClass, nil
 	}
 	name := r.tags.Class
 	if name == "" {
-		name = c.class
+		name = c.className
 	}
-	if name == "" || name == standard.Name {
-		return standard, nil
+	if name == "" || name == defaultClass.Name {
+		return defaultClass, nil
 	}
 	class, found := c.server.config.Directory.Class(name)
 	if !found {
-		return standard, unknownClass(name)
+		return defaultClass, unknownClass(name)
 	}
 	if class.Timeout <= 0 {
-		class.Timeout = standard.Timeout
+		class.Timeout = defaultClass.Timeout
 	}
 	return class, nil
 }
 
-// hasKind reports whether one of the statements is of the kind.
+// hasKind reports whether one of the statements is of that kind.
 func (r *request) hasKind(kind rosestatement.Kind) bool {
 	for _, s := range r.statements {
 		if s.Kind() == kind {
@@ -135,7 +141,7 @@
 	return false
 }
 
-// allOfKinds reports whether there are statements and all are of the kinds.
+// allOfKinds reports whether there are statements and each is of one of kinds.
 func (r *request) allOfKinds(kinds ...rosestatement.Kind) bool {
 	for _, s := range r.statements {
 		found := false
@@ -150,6 +156,7 @@
 }
 
 // mayRepeat reports whether the request may be retried even if it may have run.
+// With forcePrimary it may not, because it writes even if its class is read-only.
 func (r *request) mayRepeat() bool {
 	return !r.forcePrimary && (r.class.ReadOnly || r.class.Idempotent || !r.executes)
 }
@@ -181,7 +188,7 @@
 	r.claimedOutcome = ""
 }
 
-// sendRefusal replaces the buffered answer by a refusal.
+// sendRefusal replaces the part of the answer that was not sent with a refusal.
 func (r *request) sendRefusal(err error) {
 	refusal := rosemary.AsRefusal(err, rosemary.OutcomeUnknown)
 	r.answer.reset()
@@ -198,8 +205,8 @@
 // transaction status.
 func (r *request) sendReady() {
 	c := r.client
-	if token := c.server.config.TokenKeys.Sign(c.session); token != c.token {
-		c.token = token
+	if token := c.server.config.TokenKeys.Sign(c.session); token != c.sentToken {
+		c.sentToken = token
 		r.answer.send(&pgproto3.ParameterStatus{Name: settingToken, Value: token})
 	}
 	r.answer.send(&pgproto3.ReadyForQuery{TxStatus: c.txStatus()})
--- a/internal/rosefront/server.go
+++ b/internal/rosefront/server.go
@@ -1,6 +1,6 @@
-// Package rosefront serves clients over the PostgreSQL protocol. It holds their
-// sessions, passes each request through a chain of filters to a target, and
-// answers with the result or a typed refusal.
+// Package rosefront serves clients over the PostgreSQL protocol. It passes each
+// request of a session through a chain of filters to a target, and answers with
+// the target's response or with a refusal that says whether the request ran.
 package rosefront
 
 import (
@@ -51,24 +51,27 @@
 // Config configures a Server.
 type Config struct {
 	Directory Directory
+	// TokenKeys sign and verify the session tokens.
 	TokenKeys *rosesession.Keys
 	// TLS is the configuration of encrypted connections; nil disables
 	// encryption.
 	TLS *tls.Config
 	// RequireTLS refuses clients without encryption.
 	RequireTLS bool
-	// MaxCallers bounds the client connections; zero means no limit.
+	// MaxClients bounds the client connections; zero means no limit.
 	MaxClients int
 	// MaxMessageBytes bounds one message from a client; zero means 16 MiB.
 	MaxMessageBytes int
-	// DefaultDeadline applies to requests without a class and to classes
-	// without a deadline; zero means 10 s.
+	// DefaultTimeout applies to requests without a class and to classes
+	// without a timeout; zero means 10 s.
 	DefaultTimeout time.Duration
 	// AcknowledgeOnPrimary answers a write as soon as the primary has it,
 	// without waiting for a quorum. It is unsafe; the load tool uses it as the
 	// baseline whose lost writes its checks must detect.
 	AcknowledgeOnPrimary bool
-	// ForwardCancel forwards a cancel request with an unknown key to the peers.
+	// ForwardCancel forwards a cancel request with an unknown key to the peers:
+	// it comes on a connection of its own, which may reach another proxy than
+	// the session's.
 	ForwardCancel func(pid, secret uint32)
 	Metrics       *Metrics
 }
@@ -142,7 +145,8 @@
 	c.run()
 }
 
-// register assigns the client a cancel key.
+// register adds the client and assigns it a cancel key. The shift keeps pid
+// positive as a signed 32-bit process ID.
 func (s *Server) register(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +181,7 @@
 	return true
 }
 
-// ClientCount returns the number of connected clients.
+// ClientCount returns the number of clients with an open session.
 func (s *Server) ClientCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,9 +198,9 @@
 	}
 }
 
-// Drain ends every session outside a transaction, once its request has been
-// answered. It returns when all sessions have ended, or with ctx's error. The
-// listeners must be closed before.
+// Drain ends each session as soon as it has no open transaction and no
+// unanswered request. It returns when all sessions have ended, or with ctx's
+// error. The listeners must be closed before the call.
 func (s *Server) Drain(ctx context.Context) error {
 	s.drainOnce.Do(func() { close(s.draining) })
 	s.mu.Lock()
--- a/internal/rosefront/settings.go
+++ b/internal/rosefront/settings.go
@@ -28,7 +28,7 @@
 type settings map[string]string
 
 // fingerprint identifies the settings, to compare them with those applied to a
-// connection.
+// connection. It is empty without settings, as for a new connection.
 func (s settings) fingerprint() string {
 	if len(s) == 0 {
 		return ""
@@ -60,6 +60,7 @@
 			return err
 		}
 		if session.Name == c.session.Name {
+			// An older token must not lower the minimum position.
 			session = session.WithMinPosition(c.session.MinPosition)
 		}
 		c.session = session
@@ -93,7 +94,7 @@
 			return unknownClass(name)
 		}
 	}
-	c.class = name
+	c.className = name
 	return nil
 }
 
@@ -109,7 +110,7 @@
 	case settingSession:
 		return c.session.Name, nil
 	case settingClass:
-		return c.class, nil
+		return c.className, nil
 	case settingRequest:
 		return c.requestID, nil
 	}
--- a/internal/rosefront/settle.go
+++ b/internal/rosefront/settle.go
@@ -8,7 +8,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosestatement"
 )
 
-// finish pins or releases the connection, or handles the error.
+// finish keeps the connection for an open transaction or the next part of the
+// request, releases it otherwise, or handles err.
 func (e *execution) finish(ctx context.Context, err error) error {
 	if err != nil {
 		return e.finishFailed(ctx, err)
@@ -19,14 +20,14 @@
 	case open && c.lease == nil:
 		c.transactionClass = e.request.class
 		c.pin(e.lease)
-		c.cancelPending = e.cancelled
+		c.cancelPending = e.cancelSent
 	case open:
-		c.cancelPending = c.cancelPending || e.cancelled
+		c.cancelPending = c.cancelPending || e.cancelSent
 	case c.lease != nil:
-		c.cancelPending = c.cancelPending || e.cancelled
+		c.cancelPending = c.cancelPending || e.cancelSent
 		c.unpin()
 	default:
-		if e.cancelled {
+		if e.cancelSent {
 			conn.Close()
 		}
 		c.claimedID = ""
@@ -35,8 +36,8 @@
 	return nil
 }
 
-// finishFailed closes the connection and returns a refusal with the outcome
-// known so far.
+// finishFailed closes the connection and returns a refusal with the outcome as
+// far as it is known.
 func (e *execution) finishFailed(ctx context.Context, err error) error {
 	r := e.request
 	c := r.client
@@ -72,9 +73,9 @@
 	}
 }
 
-// outcome returns whether the request may have taken effect on a lost
-// connection. A transaction without a COMMIT is rolled back with its
-// connection.
+// outcome returns the outcome of a request whose connection was lost: unknown if
+// the target may have committed it, and otherwise not run, because the target
+// rolls back a transaction whose connection ends.
 func (e *execution) outcome(written bool) rosemary.Outcome {
 	r := e.request
 	ended := r.hasKind(rosestatement.KindEnd)
