--- a/internal/rosedaemon/admin.go
+++ b/internal/rosedaemon/admin.go
@@ -35,39 +35,47 @@
 
 // GroupState is the state of a database's group.
 type GroupState struct {
-	Database  string
-	Term      uint64
-	Primary   rosemary.TargetID
+	Database string
+	Term     uint64
+	Primary  rosemary.TargetID
+	// Confirmed is the greatest log position that a quorum of targets is known
+	// to hold.
 	Confirmed string
 	Targets   []TargetState
 }
 
 // TargetState is the state of a target as this proxy sees it.
 type TargetState struct {
-	ID          rosemary.TargetID
-	Zone        rosemary.Zone
-	Role        rosemary.Role
-	Position    string
-	Reachable   bool
-	Streaming   bool
-	Leaving     bool
+	ID        rosemary.TargetID
+	Zone      rosemary.Zone
+	Role      rosemary.Role
+	Position  string
+	Reachable bool
+	Streaming bool
+	Leaving   bool
+	// AgeMs is the upper bound of the age of the target's data, or -1 if it is
+	// unknown.
 	AgeMs       int64
 	Connections int
 	InFlight    int
 	Queued      int
-	Limit       int
+	// Limit is the current adaptive limit of InFlight.
+	Limit int
 }
 
 // PeerState is the state of another proxy as this one sees it.
 type PeerState struct {
-	Name      rosemary.ProxyID
-	Zone      rosemary.Zone
-	State     string
+	Name  rosemary.ProxyID
+	Zone  rosemary.Zone
+	State string
+	// Confirmed is set once the peer itself or another one has reported it.
 	Confirmed bool `json:"Proven"`
-	Version   uint64
+	// Version is that of the bundle in force at the peer.
+	Version uint64
 }
 
-// Admin returns the handler of health, metrics, state and operators' requests.
+// Admin returns the handler of the admin interface: health, metrics, state, and
+// the requests to move a primary or drain the proxy.
 func (d *Daemon) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
@@ -139,7 +147,7 @@
 	_ = encoder.Encode(value)
 }
 
-// State returns the current state.
+// State returns the current state of the proxy.
 func (d *Daemon) State() State {
 	manifest, since := d.updater.Current()
 	state := State{
--- a/internal/rosedaemon/backend.go
+++ b/internal/rosedaemon/backend.go
@@ -1,5 +1,6 @@
 // Package rosedaemon assembles a proxy: the server for clients, the monitoring
-// and supervision of groups, the mesh of peers and the admin interface.
+// and supervision of groups (a group is the targets that replicate one database),
+// the connections to peers and the admin interface.
 package rosedaemon
 
 import (
@@ -23,10 +24,11 @@
 const trimInterval = 30 * time.Second
 
 const (
-	// minWatchTimeout is how long a target holds a watch whose status doesn't
-	// change, when there are few targets.
+	// minWatchTimeout is the minimum of rosegroup.Config.WatchTimeout, how long
+	// a target delays its answer to a watch while its status doesn't change.
 	minWatchTimeout = 200 * time.Millisecond
-	// watchTimeoutPerTarget is the timeout that each watched target adds.
+	// watchTimeoutPerTarget is the timeout per watched target. It applies if the
+	// total is above minWatchTimeout.
 	watchTimeoutPerTarget = 27 * time.Millisecond
 )
 
@@ -40,9 +42,10 @@
 	// supervisor replaces the group's primary when needed.
 	supervisor *rosesupervisor.Supervisor
 	quota      roselend.Quota
-	loans      map[rosemary.TargetID]loan
-	cancel     context.CancelFunc
-	done       sync.WaitGroup
+	// loans holds the loans from the targets' lenders to this proxy.
+	loans  map[rosemary.TargetID]loan
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
 }
 
 // newBackend creates and starts the backend of a database.
@@ -109,9 +112,9 @@
 func (b *backend) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.cancel = cancel
-	b.done.Go(func() { _ = b.group.Run(ctx) })
-	b.done.Go(func() { b.supervisor.Run(ctx) })
-	b.done.Go(func() { b.trimPools(ctx) })
+	b.tasks.Go(func() { _ = b.group.Run(ctx) })
+	b.tasks.Go(func() { b.supervisor.Run(ctx) })
+	b.tasks.Go(func() { b.trimPools(ctx) })
 }
 
 func (b *backend) trimPools(ctx context.Context) {
@@ -129,11 +132,11 @@
 	}
 }
 
-// close stops the monitoring of the group. Connections in use are closed when
-// they are released.
+// close stops the monitoring and supervision of the group and closes the pools.
+// Connections in use are closed when they are released.
 func (b *backend) close() {
 	b.cancel()
-	b.done.Wait()
+	b.tasks.Wait()
 	for _, p := range b.pools {
 		p.Close()
 	}
--- a/internal/rosedaemon/bench_test.go
+++ b/internal/rosedaemon/bench_test.go
@@ -26,6 +26,7 @@
 	return nil, ctx.Err()
 }
 
+// newContent returns a bundle's content with n databases of three targets each.
 func newContent(n int) *rosebundle.Content {
 	content := &rosebundle.Content{}
 	for i := range n {
@@ -38,8 +39,8 @@
 	return content
 }
 
-// BenchmarkBackend reports the memory that one database takes in a proxy and
-// the CPU time of its supervision, without connections to targets.
+// BenchmarkBackend reports the memory and the share of a CPU that one database
+// takes in a proxy while no target can be reached.
 func BenchmarkBackend(b *testing.B) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
@@ -49,14 +50,14 @@
 	const count = 500
 	for b.Loop() {
 		daemon := rosedaemon.New(rosedaemon.Config{Name: "p", Zone: "a", Proxies: 6, Dialer: unresponsiveDialer{}, TokenKeys: keys})
-		before := usedMemory()
+		memoryBefore := usedMemory()
 		daemon.Apply(newContent(count))
 		time.Sleep(time.Second)
-		b.ReportMetric(float64(usedMemory()-before)/count/1024, "KB/database")
-		used := cpuTime()
+		b.ReportMetric(float64(usedMemory()-memoryBefore)/count/1024, "KB/database")
+		cpuTimeBefore := cpuTime()
 		const interval = 3 * time.Second
 		time.Sleep(interval)
-		b.ReportMetric((cpuTime()-used).Seconds()/interval.Seconds()/count*100, "cpu%/database")
+		b.ReportMetric((cpuTime()-cpuTimeBefore).Seconds()/interval.Seconds()/count*100, "cpu%/database")
 		daemon.Close()
 	}
 }
--- a/internal/rosedaemon/bundle.go
+++ b/internal/rosedaemon/bundle.go
@@ -20,8 +20,8 @@
 	// watcherPollInterval is the interval at which a watcher also reads the
 	// store, in case the watch stopped delivering.
 	watcherPollInterval = 2 * time.Second
-	// isolatedPollInterval is the interval at which a proxy reads the store
-	// that is not a watcher but has no linked peer.
+	// isolatedPollInterval is the interval at which a proxy without a linked peer
+	// reads the store if it isn't a watcher.
 	isolatedPollInterval = 5 * time.Second
 	// updateTimeout bounds the update to one bundle.
 	updateTimeout = 5 * time.Second
@@ -29,7 +29,7 @@
 	watchRetryInterval = 500 * time.Millisecond
 )
 
-// newRollout returns the rollout that applies bundles to this proxy.
+// newUpdater returns the updater that puts new bundles into force at this proxy.
 func (d *Daemon) newUpdater() *rosebundle.Updater {
 	return rosebundle.NewUpdater(rosebundle.UpdaterConfig{
 		TrustAnchors: d.config.Operators,
@@ -41,8 +41,8 @@
 	})
 }
 
-// followStore updates bundles from the store while this proxy is one of its
-// zone's watchers or has no linked peer.
+// followStore puts new bundles from the store into force while this proxy is one
+// of its zone's watchers or has no linked peer.
 func (d *Daemon) followStore(ctx context.Context) {
 	if d.config.Store == nil {
 		return
@@ -73,8 +73,8 @@
 	return rosepeer.RendezvousRank("watch/"+string(d.config.Zone), zone, d.config.Name)
 }
 
-// watchStore updates bundles until the watch ends or this proxy is no longer
-// one of the zone's watchers.
+// watchStore puts new bundles into force until the watch ends or this proxy is no
+// longer one of the zone's watchers.
 func (d *Daemon) watchStore(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -129,9 +129,12 @@
 	}
 }
 
+// fetchFromPeer puts a peer's bundle into force. Parts that the peer can't send
+// come from the store.
 func (d *Daemon) fetchFromPeer(ctx context.Context, from rosemary.ProxyID) {
 	ctx, cancel := context.WithTimeout(ctx, updateTimeout)
 	defer cancel()
+	// An empty digest requests the manifest in force.
 	text, err := d.mesh.FetchPart(ctx, from, "")
 	if err != nil {
 		return
@@ -153,7 +156,8 @@
 	}
 }
 
-// handleBundleVersion queues a fetch if the peer has a newer bundle.
+// handleBundleVersion queues a fetch if the peer has a newer bundle. It drops the
+// event if one is queued already, because each heartbeat of the peer repeats it.
 func (d *Daemon) handleBundleVersion(event rosepeer.Event) {
 	current, _ := d.updater.Current()
 	if event.BundleVersion <= current.Version {
--- a/internal/rosedaemon/daemon.go
+++ b/internal/rosedaemon/daemon.go
@@ -20,14 +20,15 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesession"
 )
 
-// Baseline replaces policies by simple ones, for comparison in load tests.
+// Baseline replaces parts of the proxy's scheduling, routing and confirmation
+// with simple versions, for comparison in load tests.
 type Baseline struct {
 	// PrimaryReads sends every read to the primary.
 	PrimaryReads bool
 	// FirstInFirstOut serves requests in order of arrival.
 	FirstInFirstOut bool
 	// AcknowledgeOnPrimary answers a write as soon as the primary has it,
-	// without waiting for a quorum.
+	// without waiting for a quorum. It can lose acknowledged writes.
 	AcknowledgeOnPrimary bool
 	// EvenSplit gives each proxy the same number of connections, regardless of
 	// demand.
@@ -47,14 +48,15 @@
 	MaxClients     int
 	TargetUser     string
 	TargetPassword string
-	// PeerAddress is where peers reach this proxy; empty runs it without peers.
+	// PeerAddress is where peers reach this proxy; a proxy without peers leaves
+	// it empty.
 	PeerAddress string
-	// PeerTLS authenticates proxies to each other; nil uses unauthenticated,
-	// plain connections.
+	// PeerTLS authenticates and encrypts the connections between proxies; nil
+	// does neither.
 	PeerTLS *tls.Config
 	// Seeds are the peers from the settings.
 	Seeds []rosemary.Member
-	// Operators are the operators who must sign the first bundle.
+	// Operators lists who may sign the first bundle, and how many of them must.
 	Operators rosebundle.OperatorList
 	// Store and MemberSource belong to the platform; either may be nil.
 	Store        rosemary.Store
@@ -73,6 +75,7 @@
 	server  *rosefront.Server
 	metrics *rosefront.Metrics
 	mesh    *rosepeer.Mesh
+	// dialer dials targets, if necessary through a peer.
 	dialer  rosemary.Dialer
 	updater *rosebundle.Updater
 	// newerBundleFrom receives a peer that has a newer bundle.
@@ -85,7 +88,7 @@
 	content  *rosebundle.Content
 	backends map[string]*backend
 	unready  bool
-	// queued holds a token after a statement had to wait for a target.
+	// queued signals borrow that a statement has to wait for a connection.
 	queued chan struct{}
 	// lender accounts for the connections that this proxy lends to others.
 	lender *roselend.Lender
@@ -93,7 +96,8 @@
 	targetCount int
 }
 
-// New returns a daemon that serves nothing until Apply and Serve are called.
+// New returns a daemon and starts its background tasks. It serves clients once
+// Serve is called and a bundle is in force.
 func New(config Config) *Daemon {
 	d := &Daemon{config: config, content: &rosebundle.Content{}, backends: make(map[string]*backend), metrics: rosefront.NewMetrics()}
 	d.lender = roselend.NewLender()
@@ -122,8 +126,8 @@
 	return d
 }
 
-// Apply puts content into force. Databases with unchanged targets keep their
-// connections.
+// Apply puts the content of a bundle into force. Databases with unchanged
+// targets keep their connections.
 func (d *Daemon) Apply(content *rosebundle.Content) {
 	wanted := make(map[string]rosebundle.Database)
 	for _, database := range content.Databases {
@@ -235,8 +239,8 @@
 	d.unready = true
 }
 
-// Drain ends all sessions outside their transactions. Transactions are not
-// interrupted before ctx ends.
+// Drain ends each session as soon as it has no open transaction. It returns when
+// all have ended; if ctx ends first, Close ends the remaining ones.
 func (d *Daemon) Drain(ctx context.Context) error {
 	started := time.Now()
 	d.mesh.Leave()
@@ -246,7 +250,8 @@
 	return trace.Wrap(err)
 }
 
-// Close closes all connections and stops the daemon.
+// Close closes all connections, including those in a transaction, and stops the
+// daemon.
 func (d *Daemon) Close() {
 	d.server.CloseConnections()
 	d.mu.Lock()
--- a/internal/rosedaemon/lend.go
+++ b/internal/rosedaemon/lend.go
@@ -11,16 +11,16 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosewire"
 )
 
-// loan is what this proxy may use of one target beyond its reserved
-// connections.
+// loan is the number of connections to one target that this proxy may use beyond
+// its reserved ones.
 type loan struct {
-	extra       int
-	expires     time.Time
+	connections int
+	expiresAt   time.Time
 	requestedAt time.Time
 }
 
-// borrow requests connections where statements wait for them, and returns
-// expired loans.
+// borrow requests connections to targets for which statements wait, and stops
+// using expired loans.
 func (d *Daemon) borrow(ctx context.Context) {
 	for d.awaitDemand(ctx) {
 		d.mu.Lock()
@@ -32,12 +32,11 @@
 	}
 }
 
-// minRequestInterval is the minimum time between requests while statements
-// wait.
+// minRequestInterval is the minimum time between two rounds of requests.
 const minRequestInterval = 20 * time.Millisecond
 
-// awaitDemand returns when a statement had to wait or loans are due for a
-// check. It returns false if ctx has ended.
+// awaitDemand returns when a statement had to wait, or after RequestInterval to
+// renew or end loans. It returns false if ctx has ended.
 func (d *Daemon) awaitDemand(ctx context.Context) bool {
 	if !roseclock.Sleep(ctx, minRequestInterval) {
 		return false
@@ -66,8 +65,8 @@
 	for _, b := range d.backends {
 		for id := range b.pools {
 			current := b.loans[id]
-			if current.extra > 0 && now.After(current.expires) {
-				current.extra = 0
+			if current.connections > 0 && now.After(current.expiresAt) {
+				current.connections = 0
 				b.loans[id] = current
 				b.applyLimit(id)
 			}
@@ -95,7 +94,7 @@
 // applyLimit limits a target's pool and queue to the reserved and borrowed
 // connections.
 func (b *backend) applyLimit(id rosemary.TargetID) {
-	limit := b.quota.Reserved + b.loans[id].extra
+	limit := b.quota.Reserved + b.loans[id].connections
 	b.pools[id].SetLimit(limit)
 	b.queues[id].SetMaxInFlight(limit)
 }
@@ -111,7 +110,8 @@
 	d.mesh.RequestConnections(lender, request)
 }
 
-// lend grants a proxy's request for connections to a target.
+// lend answers a proxy's request for connections to a target whose lender this
+// proxy is.
 func (d *Daemon) lend(from rosemary.ProxyID, request rosewire.Ask) rosewire.Grant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,8 +126,8 @@
 }
 
 // applyGrant applies a grant. The loan expires LoanDuration after the last
-// request was sent. The lender counts from its arrival, so it lends the
-// connections to others only after that.
+// request was sent. The lender counts from the arrival of the request, so it
+// doesn't lend the connections to others before the loan has expired.
 func (d *Daemon) applyGrant(grant rosewire.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -137,8 +137,8 @@
 		return
 	}
 	current := b.loans[id]
-	current.extra = int(min(grant.Extra, uint64(b.quota.Lendable)))
-	current.expires = current.requestedAt.Add(roselend.LoanDuration)
+	current.connections = int(min(grant.Extra, uint64(b.quota.Lendable)))
+	current.expiresAt = current.requestedAt.Add(roselend.LoanDuration)
 	b.loans[id] = current
 	b.applyLimit(id)
 }
--- a/internal/rosedaemon/peers.go
+++ b/internal/rosedaemon/peers.go
@@ -21,7 +21,7 @@
 	// memberPollInterval is the interval at which a zone's watchers read the
 	// platform's VM list.
 	memberPollInterval = 5 * time.Second
-	// nonWatcherMemberPollInterval is the interval of the other proxies.
+	// nonWatcherMemberPollInterval is the interval of the zone's other proxies.
 	nonWatcherMemberPollInterval = time.Minute
 	// isolatedMemberPollInterval is the interval of a proxy without a linked
 	// peer.
@@ -61,8 +61,9 @@
 	return server.Serve(listener)
 }
 
-// followMembers adds the members of the platform's VM list. The list lags and
-// may be unreachable, so a member counts only once it was heard.
+// followMembers adds the members of the platform's VM list. The list may be
+// stale and the platform unreachable, so a member counts as live only once it or
+// a peer has reported it.
 func (d *Daemon) followMembers(ctx context.Context) {
 	if d.config.MemberSource == nil {
 		return
@@ -79,8 +80,8 @@
 }
 
 // memberPollDelay returns the time until the next read of the VM list. Most
-// proxies learn of members from their peers, so the number of reads grows with
-// the zones and not with the proxies.
+// proxies learn of members from their peers and read it rarely, which keeps the
+// load on the platform low with many proxies.
 func (d *Daemon) memberPollDelay() time.Duration {
 	switch {
 	case len(d.mesh.LinkedPeers()) == 0:
@@ -133,7 +134,8 @@
 	})
 }
 
-// isTargetAddress reports whether a target in force has the address.
+// isTargetAddress reports whether a target of the bundle in force has the
+// address. Peers may tunnel to no other address through this proxy.
 func (d *Daemon) isTargetAddress(address string) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -167,7 +169,8 @@
 	})
 }
 
-// MovePrimary makes another target of a database its primary.
+// MovePrimary makes the target to, or a chosen one if to is empty or lacks
+// acknowledged writes, the primary of a database. It returns the new primary.
 func (d *Daemon) MovePrimary(ctx context.Context, database string, to rosemary.TargetID) (rosemary.TargetID, error) {
 	d.mu.RLock()
 	b := d.backends[database]
