--- a/internal/rosetarget/describe.go
+++ b/internal/rosetarget/describe.go
@@ -32,7 +32,8 @@
 }
 
 // inferParamTypes returns the types of a statement's parameters: the declared
-// ones, or else those of the columns that they are compared with or assigned to.
+// ones, or else those of the columns that they are compared with, inserted into or
+// assigned to. LIMIT takes an integer, and any other parameter is text.
 func (s *session) inferParamTypes(st *statement, declared []uint32) []uint32 {
 	types := make(map[int]uint32)
 	t, _ := s.target.lookupTable(st.table)
--- a/internal/rosetarget/encode.go
+++ b/internal/rosetarget/encode.go
@@ -18,7 +18,7 @@
 	s.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(r.tag)})
 }
 
-func describeColumns(columns []column, formats []int16) *pgproto3.RowDescription {
+func rowDescription(columns []column, formats []int16) *pgproto3.RowDescription {
 	fields := make([]pgproto3.FieldDescription, len(columns))
 	for i, c := range columns {
 		fields[i] = pgproto3.FieldDescription{
--- a/internal/rosetarget/execute.go
+++ b/internal/rosetarget/execute.go
@@ -9,7 +9,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// result is the result of one statement.
+// result is the result of one statement. columns is nil if the statement returns
+// no rows; tag is the command tag.
 type result struct {
 	columns []column
 	rows    []row
@@ -51,7 +52,7 @@
 		return nil, newError("42P07", "relation %q already exists", s.table)
 	}
 	if !exists {
-		tx.ops = append(tx.ops, op{kind: opCreate, table: s.table, columns: s.definitions})
+		tx.ops = append(tx.ops, op{kind: opCreate, table: s.table, columns: s.columnDefinitions})
 	}
 	return &result{tag: "CREATE TABLE"}, nil
 }
@@ -116,7 +117,7 @@
 			index = t.columnIndex(s.columns[i])
 		}
 		if index < 0 || index >= len(r) {
-			return nil, newError("42703", "INSERT refers to a column that does not exist")
+			return nil, newError("42703", "INSERT has a value without a matching column")
 		}
 		v, err := evaluator{params: params}.evaluate(e)
 		if err != nil {
@@ -152,8 +153,8 @@
 	return keys, nil
 }
 
-// candidateKeys returns the keys that satisfy the = and >= conditions on the
-// primary key.
+// candidateKeys narrows the keys of a table by the = and >= conditions on the
+// primary key. The rows may still fail other conditions.
 func (tx *transaction) candidateKeys(t *table, s *statement, params []value) ([]string, error) {
 	keys := tx.keys(s.table)
 	for _, c := range s.where {
@@ -190,7 +191,7 @@
 		if v.Null || r[index].Null {
 			return false, nil
 		}
-		matched, err := orderSatisfies(c.operator, compareValues(t.columns[index].Integer, r[index], v))
+		matched, err := comparisonHolds(c.operator, compareValues(t.columns[index].Integer, r[index], v))
 		if err != nil || !matched {
 			return false, err
 		}
@@ -280,7 +281,8 @@
 	return tx.project(t, s, keys, params)
 }
 
-// lockRows locks rows and returns the keys that still match afterwards.
+// lockRows locks the rows of keys and then repeats the search, as rows may change
+// before they are locked. It returns the keys found.
 func (tx *transaction) lockRows(ctx context.Context, t *table, s *statement, keys []string, params []value) ([]string, error) {
 	if err := tx.checkWritable(); err != nil {
 		return nil, err
@@ -300,6 +302,7 @@
 	return []column{{Name: "?column?", Integer: err == nil}}
 }
 
+// project sorts and limits the rows of keys and selects their columns.
 func (tx *transaction) project(t *table, s *statement, keys []string, params []value) (*result, error) {
 	rows := make([]row, 0, len(keys))
 	tx.target.mu.Lock()
--- a/internal/rosetarget/extended.go
+++ b/internal/rosetarget/extended.go
@@ -7,7 +7,7 @@
 func (s *session) extendedQuery(message pgproto3.FrontendMessage) error {
 	switch m := message.(type) {
 	case *pgproto3.Parse:
-		return s.parseMessage(m)
+		return s.prepare(m)
 	case *pgproto3.Bind:
 		return s.bind(m)
 	case *pgproto3.Describe:
@@ -26,7 +26,7 @@
 	return newError("08P01", "unexpected message %T", message)
 }
 
-func (s *session) parseMessage(m *pgproto3.Parse) error {
+func (s *session) prepare(m *pgproto3.Parse) error {
 	statements, err := parse(m.Query)
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 		s.backend.Send(&pgproto3.NoData{})
 		return nil
 	}
-	s.backend.Send(describeColumns(columns, formats))
+	s.backend.Send(rowDescription(columns, formats))
 	return nil
 }
 
--- a/internal/rosetarget/functions.go
+++ b/internal/rosetarget/functions.go
@@ -73,6 +73,7 @@
 		status := t.watch(ctx, argument(0), time.Duration(uintArgument(1))*time.Millisecond)
 		result := statusResult(status)
 		if status.Fingerprint() == argument(0) {
+			// No row means that the status hasn't changed.
 			result.rows, result.tag = nil, "SELECT 0"
 		}
 		return result, nil
@@ -139,8 +140,8 @@
 )
 
 // claim records that the request with that identifier runs in the current
-// transaction. If it was claimed before, claim fails with 23505 and a detail
-// whose last word is its state, which the proxy parses.
+// transaction. If the request has a state already, claim fails with 23505 and a
+// detail whose last word is that state, which the proxy parses.
 func (s *session) claim(ctx context.Context, id string) (*result, error) {
 	tx := s.transaction
 	if err := tx.checkWritable(); err != nil {
@@ -154,8 +155,8 @@
 	existing := tx.find(requestsTable, id)
 	s.target.mu.Unlock()
 	if existing != nil {
-		e := newError("23505", "request %q was claimed before", id)
-		e.detail = "Its outcome is: " + existing[1].Text
+		e := newError("23505", "request %q is already recorded", id)
+		e.detail = "Recorded state: " + existing[1].Text
 		return nil, e
 	}
 	tx.write(op{kind: opPut, table: requestsTable, key: id, row: row{{Text: id}, {Text: requestRan}}})
@@ -163,15 +164,15 @@
 }
 
 // outcome returns whether a request ran. One that didn't is recorded as
-// abandoned, so that it can't run later. The state is written in either case, so
-// that the answer is confirmed once this write is.
+// abandoned, so that it can't run later. The state is written in either case:
+// once a quorum has confirmed this write, a failover can't change the answer.
 func (s *session) outcome(ctx context.Context, id string) (*result, error) {
 	tx := s.transaction
 	if err := tx.checkWritable(); err != nil {
 		return nil, err
 	}
 	if err := tx.lockRow(ctx, rowID{requestsTable, id}); err != nil {
-		return singleValue("outcome", false, "unknown"), nil // another transaction still holds the claim
+		return singleValue("outcome", false, "unknown"), nil // the transaction that claimed the request may still run
 	}
 	s.target.mu.Lock()
 	existing := tx.find(requestsTable, id)
--- a/internal/rosetarget/inspect.go
+++ b/internal/rosetarget/inspect.go
@@ -8,7 +8,8 @@
 	Fields []string
 }
 
-// Record is one commit in a target's log.
+// Record is one commit in a target's log, or the record without puts that starts
+// a term.
 type Record struct {
 	Term        uint64
 	CommittedAt time.Time
@@ -41,7 +42,8 @@
 	return puts
 }
 
-// maxStatementTimes bounds the number of statement times kept.
+// maxStatementTimes bounds the number of statement times kept. The older half is
+// dropped when it is reached.
 const maxStatementTimes = 100_000
 
 func (t *Target) recordStatement() {
--- a/internal/rosetarget/lexer.go
+++ b/internal/rosetarget/lexer.go
@@ -83,6 +83,8 @@
 	return tokens, nil
 }
 
+// unquote returns the content of the quoted token at the start of text, and the
+// size of the token with its quotes.
 func unquote(text string, quote byte) (string, int, error) {
 	var b strings.Builder
 	for i := 1; i < len(text); i++ {
@@ -97,5 +99,5 @@
 		}
 		return b.String(), i + 1, nil
 	}
-	return "", 0, syntaxError("unterminated string")
+	return "", 0, syntaxError("unterminated quoted string or identifier")
 }
--- a/internal/rosetarget/log.go
+++ b/internal/rosetarget/log.go
@@ -11,7 +11,7 @@
 
 const (
 	opCreate opKind = iota
-	opPut
+	opPut           // inserts or replaces a row
 	opDelete
 )
 
@@ -23,7 +23,8 @@
 	columns []column
 }
 
-// record is the log record of one commit.
+// record is the log record of one commit. A new primary starts its term with a
+// record without ops, so that its position shows the term before any write.
 type record struct {
 	term        uint64
 	committedAt time.Time
@@ -36,7 +37,8 @@
 	tables map[string]*table
 }
 
-// requestsTable holds the identifiers and states of claimed requests.
+// requestsTable holds the state of each request that rosemary.claim or
+// rosemary.outcome was called for, by its identifier.
 const requestsTable = "rosemary.requests"
 
 func newDatabase() *database {
@@ -85,7 +87,7 @@
 	}
 }
 
-// maxHistoryTerms bounds the number of terms in a status.
+// maxHistoryTerms bounds the number of terms in a status's history.
 const maxHistoryTerms = 16
 
 func (d *database) history() rosemary.History {
@@ -113,8 +115,8 @@
 	return low
 }
 
-// commonPrefix returns the number of leading records that both logs share.
-// Records at the same offset are equal if their terms are.
+// commonPrefix returns the number of leading records that both logs share. If the
+// records at an offset have the same term, the logs are equal up to that offset.
 func (d *database) commonPrefix(other *database) int {
 	size := min(len(d.log), len(other.log))
 	for size > 0 && d.log[size-1].term != other.log[size-1].term {
--- a/internal/rosetarget/parser.go
+++ b/internal/rosetarget/parser.go
@@ -7,13 +7,13 @@
 )
 
 // expression is a literal, a parameter or a column, with an optional addend that
-// is added or, with negate, subtracted.
+// is added or, if subtract is set, subtracted. Parameters are numbered from 1.
 type expression struct {
-	literal value
-	param   int
-	column  string
-	addend  *expression
-	negate  bool
+	literal  value
+	param    int
+	column   string
+	addend   *expression
+	subtract bool
 }
 
 type condition struct {
@@ -27,25 +27,27 @@
 	value  expression
 }
 
-// statement is a parsed SQL statement.
+// statement is a parsed SQL statement; its command determines which fields are
+// set. rows holds the VALUES of an INSERT, or the single expression of a SELECT
+// without FROM.
 type statement struct {
-	command        string
-	table          string
-	columns        []string
-	definitions    []column
-	rows           [][]expression
-	assignments    []assignment
-	where          []condition
-	orderBy        string
-	descending     bool
-	limit          *expression
-	count          bool
-	ignoreExisting bool
-	forUpdate      bool
-	function       string
-	args           []expression
-	settingName    string
-	settingValue   string
+	command           string
+	table             string
+	columns           []string
+	columnDefinitions []column
+	rows              [][]expression
+	assignments       []assignment
+	where             []condition
+	orderBy           string
+	descending        bool
+	limit             *expression
+	count             bool
+	ignoreExisting    bool
+	forUpdate         bool
+	function          string
+	args              []expression
+	settingName       string
+	settingValue      string
 }
 
 type parser struct {
@@ -159,7 +161,7 @@
 func (p *parser) parseSetting(command string) (*statement, error) {
 	s := &statement{command: command}
 	if p.acceptWords("session") || p.acceptWords("local") {
-		s.command = command
+		s.command = command // no effect: SESSION and LOCAL are skipped
 	}
 	s.settingName = p.nextToken().text
 	if p.acceptSymbol("=") || p.acceptWords("to") {
@@ -195,7 +197,7 @@
 		if p.acceptWords("not", "null") {
 			c.PrimaryKey = c.PrimaryKey || p.acceptWords("primary", "key")
 		}
-		s.definitions = append(s.definitions, c)
+		s.columnDefinitions = append(s.columnDefinitions, c)
 		if p.acceptSymbol(")") {
 			return s, nil
 		}
@@ -336,16 +338,16 @@
 // function call, which ends the statement.
 func (p *parser) parseSelectList(s *statement) (bool, error) {
 	for {
-		item, err := p.parseName()
+		name, err := p.parseName()
 		if err != nil {
 			return false, err
 		}
 		if p.acceptSymbol("(") {
-			s.function = item
+			s.function = name
 			s.args, err = p.parseExpressions()
 			return true, err
 		}
-		s.columns = append(s.columns, item)
+		s.columns = append(s.columns, name)
 		if !p.acceptSymbol(",") {
 			return false, nil
 		}
@@ -436,7 +438,7 @@
 		}
 	}
 	if p.acceptSymbol("+") || p.acceptSymbol("-") {
-		e.negate = p.tokens[p.offset-1].text == "-"
+		e.subtract = p.tokens[p.offset-1].text == "-"
 		addend, err := p.parseExpression()
 		if err != nil {
 			return e, err
@@ -446,5 +448,5 @@
 	return e, nil
 }
 
-// maxParams is the highest parameter number of a statement.
+// maxParams is the highest parameter number accepted in a statement.
 const maxParams = 1000
--- a/internal/rosetarget/replicate.go
+++ b/internal/rosetarget/replicate.go
@@ -8,29 +8,31 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// replicationRetry is the interval between attempts while the primary is
-// unavailable or has nothing to copy.
+// replicationRetry limits the wait for a change at the primary. Nothing signals
+// that an unavailable primary is back, or that a record held back by the lag has
+// become old enough.
 const replicationRetry = 20 * time.Millisecond
 
-// startReplication replaces the target's replication. The caller holds mu.
+// startReplication starts replication from the target's primary, after stopping
+// that from an earlier one. The caller holds mu.
 func (t *Target) startReplication() {
 	if t.cancelReplication != nil {
 		t.cancelReplication()
 	}
 	ctx, cancel := context.WithCancel(t.run.ctx)
 	t.cancelReplication = cancel
-	primary, term := t.cluster.targets[t.primary], t.term
+	primary, term := t.group.targets[t.primary], t.term
 	t.run.goroutines.Go(func() { t.replicate(ctx, primary, term) })
 }
 
-// replicate copies the log of primary until ctx is cancelled, as it is when the
-// target moves to another term.
+// replicate copies the log of primary until ctx is canceled. A crash, a fence and
+// a change of the primary or the term cancel it.
 func (t *Target) replicate(ctx context.Context, primary *Target, term uint64) {
 	defer t.clearStreaming()
 	for ctx.Err() == nil && primary != nil {
-		copied, changed := t.replicateOnce(ctx, primary, term)
-		t.updateStreaming(changed != nil || copied, primary)
-		if copied {
+		updated, changed := t.replicateOnce(ctx, primary, term)
+		t.updateStreaming(changed != nil || updated, primary)
+		if updated {
 			continue
 		}
 		select {
@@ -46,8 +48,8 @@
 const streamTimeout = 600 * time.Millisecond
 
 // updateStreaming updates whether the replica reports a replication stream. A
-// primary that closed the stream is detected immediately, one that can't be
-// reached only after streamTimeout.
+// primary that crashed is detected immediately, as it closes its connections; one
+// that can't be reached or doesn't lead the term only after streamTimeout.
 func (t *Target) updateStreaming(contacted bool, primary *Target) {
 	primary.mu.Lock()
 	closed := primary.run == nil
@@ -65,6 +67,8 @@
 	}
 }
 
+// clearStreaming ends the reported stream once replication has ended. A target
+// that is still a replica keeps it, as it may only have changed its primary.
 func (t *Target) clearStreaming() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,10 +78,11 @@
 	}
 }
 
-// replicateOnce copies the records of the primary that are older than the lag,
-// after it truncated the log where the two diverge. It returns whether anything
-// was copied, and a channel that is closed when the primary changes; nil if the
-// primary isn't available.
+// replicateOnce truncates the log where it diverges from the primary's, and then
+// appends the primary's records that are older than the lag. It returns whether
+// the log changed, and a channel that is closed when the primary's state next
+// changes; nil if the primary can't be reached or doesn't lead the term, or the
+// target isn't its replica any more.
 func (t *Target) replicateOnce(ctx context.Context, primary *Target, term uint64) (bool, <-chan struct{}) {
 	from, to := primary.host(), t.host()
 	primary.mu.Lock()
@@ -122,7 +127,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if term < t.term || term == t.term && proposer != t.proposer {
-		return t.status(), newError("55000", "fence for term %d refused: current term is %d", term, t.term)
+		return t.status(), newError("55000", "fence for term %d refused: term %d is newer or belongs to another proposer", term, t.term)
 	}
 	if term > t.term {
 		t.term = term
@@ -141,7 +146,8 @@
 	}
 }
 
-// promote makes a target fenced for term its primary.
+// promote makes a target fenced for term its primary. It refuses another term,
+// and a replica.
 func (t *Target) promote(term uint64) (rosemary.Status, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,7 +163,8 @@
 	return t.status(), nil
 }
 
-// followPrimary makes the target a replica of primary in term.
+// followPrimary makes the target a replica of primary in term. It refuses an older
+// term, or the current one if the target is its primary.
 func (t *Target) followPrimary(primary rosemary.TargetID, term uint64) (rosemary.Status, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/rosetarget/session.go
+++ b/internal/rosetarget/session.go
@@ -16,7 +16,7 @@
 
 const serverVersion = "15.0"
 
-// Object identifiers of the supported types.
+// PostgreSQL's OIDs of the supported types.
 const (
 	oidInt8 = 20
 	oidText = 25
@@ -42,6 +42,8 @@
 	cancel context.CancelFunc
 }
 
+// preparedStatement is a statement named by a Parse message. An empty query has
+// no statements, any other has one.
 type preparedStatement struct {
 	statements []*statement
 	paramOIDs  []uint32
@@ -212,7 +214,7 @@
 			return
 		}
 		if r.columns != nil {
-			s.backend.Send(describeColumns(r.columns, nil))
+			s.backend.Send(rowDescription(r.columns, nil))
 		}
 		s.sendRows(r, nil)
 	}
@@ -252,6 +254,7 @@
 	case "show":
 		return s.show(st)
 	case "set", "reset", "discard", "deallocate":
+		// These have no effect.
 		return &result{tag: strings.ToUpper(st.command)}, nil
 	}
 	if s.transaction == nil {
@@ -273,8 +276,8 @@
 	return s.executeInSlot(ctx, st, params)
 }
 
-// executeInSlot runs a statement after it held one of the target's slots for the
-// service time.
+// executeInSlot acquires one of the target's slots, holds it for the statement's
+// service time, releases it and then runs the statement.
 func (s *session) executeInSlot(ctx context.Context, st *statement, params []value) (*result, error) {
 	select {
 	case s.target.slots <- struct{}{}:
@@ -290,6 +293,8 @@
 	return s.transaction.execute(ctx, st, params)
 }
 
+// statementContext returns a context that cancelStatement cancels, and a function
+// to call when the statement has ended.
 func (s *session) statementContext() (context.Context, func()) {
 	ctx, cancel := context.WithCancel(s.run.ctx)
 	s.mu.Lock()
--- a/internal/rosetarget/table.go
+++ b/internal/rosetarget/table.go
@@ -90,20 +90,22 @@
 	return 0
 }
 
-func orderSatisfies(operator string, order int) (bool, error) {
+// comparisonHolds reports whether an operator holds for two values, given the
+// result of compareValues.
+func comparisonHolds(operator string, comparison int) (bool, error) {
 	switch operator {
 	case "=":
-		return order == 0, nil
+		return comparison == 0, nil
 	case "<>", "!=":
-		return order != 0, nil
+		return comparison != 0, nil
 	case "<":
-		return order < 0, nil
+		return comparison < 0, nil
 	case "<=":
-		return order <= 0, nil
+		return comparison <= 0, nil
 	case ">":
-		return order > 0, nil
+		return comparison > 0, nil
 	case ">=":
-		return order >= 0, nil
+		return comparison >= 0, nil
 	}
 	return false, syntaxError("unknown operator %q", operator)
 }
--- a/internal/rosetarget/target.go
+++ b/internal/rosetarget/target.go
@@ -1,7 +1,7 @@
 // Package rosetarget emulates a database group for the demo, the load tool and
 // the tests: in-memory tables behind PostgreSQL's protocol, with terms, log
 // positions, asynchronous replication, a connection limit and slots. It supports
-// only the SQL of two workloads.
+// only the SQL that these send.
 package rosetarget
 
 import (
@@ -30,35 +30,40 @@
 	// ReadTime and WriteTime are how long a read or a write holds its slot.
 	ReadTime  time.Duration
 	WriteTime time.Duration
-	// ScanTime applies instead of ReadTime, if longer, to reads without an
-	// equality condition.
+	// ScanTime replaces ReadTime for reads without an equality condition, if
+	// it is longer.
 	ScanTime time.Duration
-	Network  *rosenet.Network
+	// Network is set by NewGroup.
+	Network *rosenet.Network
 }
 
 // Target is one emulated database server.
 type Target struct {
-	config  Config
-	cluster *Group
-	slots   chan struct{}
+	config Config
+	group  *Group
+	slots  chan struct{}
 
-	mu       sync.Mutex
-	changed  chan struct{}
-	data     *database
-	locks    map[rowID]*rowLock
-	term     uint64
+	mu sync.Mutex
+	// changed is closed and replaced by notify.
+	changed chan struct{}
+	data    *database
+	locks   map[rowID]*rowLock
+	term    uint64
+	// proposer made the latest fence; only it may repeat that fence.
 	proposer string
 	role     rosemary.Role
 	primary  rosemary.TargetID
 	leaving  bool
-	// lastContact is when replication last reached the primary.
+	// lastContact is when the replica last reached its primary.
 	lastContact       time.Time
 	streaming         bool
 	lag               time.Duration
 	cancelReplication context.CancelFunc
-	run               *serverRun
+	// run is nil while the server is stopped.
+	run *serverRun
 
-	// Every slowWatchEvery-th watch is delayed by slowWatchDelay; 0 disables it.
+	// Every slowWatchEvery-th call of rosemary.watch is delayed by
+	// slowWatchDelay; 0 disables the delay.
 	slowWatchEvery int
 	slowWatchDelay time.Duration
 	watchCount     int
@@ -74,11 +79,11 @@
 	cancel     context.CancelFunc
 	listener   net.Listener
 	sessions   map[*session]struct{}
-	nextPID    uint32
+	lastPID    uint32
 	goroutines sync.WaitGroup
 }
 
-// Group is a group of targets that replicate to each other.
+// Group is a primary and the targets that replicate from it.
 type Group struct {
 	network *rosenet.Network
 	targets map[rosemary.TargetID]*Target
@@ -87,12 +92,12 @@
 // NewGroup returns a group of targets that aren't started yet. The first is
 // the primary of term 1 and the others are its replicas.
 func NewGroup(network *rosenet.Network, configs []Config) *Group {
-	cluster := &Group{network: network, targets: make(map[rosemary.TargetID]*Target)}
+	group := &Group{network: network, targets: make(map[rosemary.TargetID]*Target)}
 	for i, c := range configs {
 		c.Network = network
 		t := &Target{
 			config:  c,
-			cluster: cluster,
+			group:   group,
 			slots:   make(chan struct{}, c.Slots),
 			changed: make(chan struct{}),
 			data:    newDatabase(),
@@ -105,13 +110,13 @@
 			t.role = rosemary.RolePrimary
 			t.data.append(record{term: 1, committedAt: time.Now()})
 		}
-		cluster.targets[c.ID] = t
+		group.targets[c.ID] = t
 	}
-	return cluster
+	return group
 }
 
 // Target returns the target with that identifier, or nil.
-func (c *Group) Target(id rosemary.TargetID) *Target { return c.targets[id] }
+func (g *Group) Target(id rosemary.TargetID) *Target { return g.targets[id] }
 
 // Start listens and serves until Crash. The first start picks a free address,
 // which later starts reuse.
@@ -175,14 +180,14 @@
 	t.notify()
 }
 
-// SetSlowWatches delays one of every so many watches by delay.
-func (t *Target) SetSlowWatches(every int, delay time.Duration) {
+// SetSlowWatches delays every nth call of rosemary.watch; 0 delays none.
+func (t *Target) SetSlowWatches(nth int, delay time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.slowWatchEvery, t.slowWatchDelay = every, delay
+	t.slowWatchEvery, t.slowWatchDelay = nth, delay
 }
 
-// nextWatchDelay returns the delay of the next watch.
+// nextWatchDelay counts a call of rosemary.watch and returns its delay.
 func (t *Target) nextWatchDelay() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,7 +198,8 @@
 	return t.slowWatchDelay
 }
 
-// SetLeaving sets whether the target asks, in its status, for no new work.
+// SetLeaving sets Leaving in the target's status. A leaving target asks for no
+// new work, but still accepts it.
 func (t *Target) SetLeaving(leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -265,16 +271,16 @@
 	}
 }
 
-// addSession registers a session. It reports false if the connection limit is
-// reached or the server has stopped.
+// addSession registers a session and assigns its process ID. It reports false if
+// the connection limit is reached or the server has stopped.
 func (t *Target) addSession(r *serverRun, s *session) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.run != r || len(r.sessions) >= t.config.MaxConnections {
 		return false
 	}
-	r.nextPID++
-	s.pid = r.nextPID
+	r.lastPID++
+	s.pid = r.lastPID
 	r.sessions[s] = struct{}{}
 	return true
 }
@@ -297,11 +303,11 @@
 }
 
 // Close stops all targets of the group.
-func (c *Group) Close() {
-	for _, t := range c.targets {
+func (g *Group) Close() {
+	for _, t := range g.targets {
 		t.Crash()
 	}
 }
 
 // Targets returns the targets of the group by identifier.
-func (c *Group) Targets() map[rosemary.TargetID]*Target { return c.targets }
+func (g *Group) Targets() map[rosemary.TargetID]*Target { return g.targets }
--- a/internal/rosetarget/transaction.go
+++ b/internal/rosetarget/transaction.go
@@ -18,7 +18,8 @@
 	key   string
 }
 
-// rowLock is held by one transaction; released is closed when it ends.
+// rowLock is held by one transaction; released is closed when that transaction
+// ends.
 type rowLock struct {
 	owner    *transaction
 	released chan struct{}
@@ -155,7 +156,8 @@
 	return newError("25006", "cannot execute a write on a read-only target")
 }
 
-// evaluator evaluates expressions for a row, if there is one.
+// evaluator evaluates expressions. Columns have the values of row; without one,
+// they are errors.
 type evaluator struct {
 	params []value
 	table  *table
@@ -174,9 +176,9 @@
 	a, errA := strconv.ParseInt(operand.Text, 10, 64)
 	b, errB := strconv.ParseInt(addend.Text, 10, 64)
 	if errA != nil || errB != nil {
-		return value{}, newError("22P02", "invalid input for integer arithmetic")
+		return value{}, newError("22P02", "operands of + and - must be integers")
 	}
-	if expr.negate {
+	if expr.subtract {
 		b = -b
 	}
 	return value{Text: strconv.FormatInt(a+b, 10)}, nil
