--- a/internal/rosestack/bench_test.go
+++ b/internal/rosestack/bench_test.go
@@ -34,7 +34,7 @@
 const benchRead = "SELECT id, version FROM licences WHERE id = 7 /*class='lookup'*/"
 
 // BenchmarkStatements reports the lookups per second that one proxy serves to
-// 64 callers. Callers and targets share the process.
+// about 64 callers. Callers and targets share the process.
 func BenchmarkStatements(b *testing.B) {
 	c := qt.New(b)
 	stack, err := rosestack.Start(context.Background(), rosestack.Config{Deployment: fastDeployment(c)})
@@ -44,7 +44,8 @@
 	runLookups(b, c, stack)
 }
 
-// runLookups runs lookups from 64 callers of the first proxy, back to back.
+// runLookups runs lookups on the first proxy from about 64 callers, in a closed
+// loop. Their exact number is a multiple of GOMAXPROCS.
 func runLookups(b *testing.B, c *qt.C, stack *rosestack.Stack) {
 	b.SetParallelism(64 / runtime.GOMAXPROCS(0))
 	b.ResetTimer()
@@ -61,8 +62,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "statements/s")
 }
 
-// BenchmarkSkewedDemand reports the lookups per second of 64 callers that are
-// all connected to one of six proxies, with connection loans between proxies
+// BenchmarkSkewedDemand reports the lookups per second of about 64 callers that
+// are all connected to one of six proxies, with connection loans between proxies
 // and with an even split.
 func BenchmarkSkewedDemand(b *testing.B) {
 	for name, baseline := range map[string]rosedaemon.Baseline{"loans": {}, "even": {EvenSplit: true}} {
@@ -79,8 +80,8 @@
 	}
 }
 
-// BenchmarkAddedLatency reports the p50 latency of lookups that alternate
-// between a direct connection to a replica and a proxy.
+// BenchmarkAddedLatency reports the p50 latencies of lookups sent alternately to
+// a replica and to a proxy, and their difference.
 func BenchmarkAddedLatency(b *testing.B) {
 	c := qt.New(b)
 	stack, err := rosestack.Start(context.Background(), rosestack.Config{Deployment: fastDeployment(c)})
@@ -115,8 +116,8 @@
 	return time.Since(started)
 }
 
-// BenchmarkIdleCallers reports the proxy's memory per idle caller. The client
-// keeps only its socket, as it shares the process.
+// BenchmarkIdleCallers reports the proxy's memory per idle caller. The callers
+// share the process, so each keeps only its socket.
 func BenchmarkIdleCallers(b *testing.B) {
 	c := qt.New(b)
 	stack, err := rosestack.Start(context.Background(), rosestack.Config{Deployment: fastDeployment(c)})
--- a/internal/rosestack/bundles.go
+++ b/internal/rosestack/bundles.go
@@ -16,7 +16,8 @@
 // operatorNames are the operators of a stack. A change needs both signatures.
 var operatorNames = []string{"ana", "luis"}
 
-// OperatorKey returns the private key of one of a stack's operators.
+// OperatorKey returns the private key of one of a stack's operators. It depends
+// only on the name, so that it is the same in every run, and is not secret.
 func OperatorKey(name string) ed25519.PrivateKey {
 	seed := sha256.Sum256([]byte("operator of the demonstration: " + name))
 	return ed25519.NewKeyFromSeed(seed[:])
@@ -79,5 +80,6 @@
 	return p.Manifest.Version, rosebundle.Propose(ctx, store, p)
 }
 
-// BundleVersion returns the version of the bundle in force at the proxy.
+// BundleVersion returns the version of the bundle in force at the proxy, or zero
+// without one.
 func (p *Proxy) BundleVersion() uint64 { return p.Daemon.BundleVersion() }
--- a/internal/rosestack/caller.go
+++ b/internal/rosestack/caller.go
@@ -30,6 +30,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
+	// pgconn requires a host and a port; DialFunc ignores them.
 	config.Host, config.Port = "proxy", 1
 	config.User = caller.Tenant
 	config.Database = caller.Database
@@ -47,16 +48,17 @@
 // after the query was sent.
 const driverClosedMessage = "conn closed"
 
-// errAnswerLost is returned for a query that may have run.
-var errAnswerLost = errors.New("connection closed before the response was received")
+// errResponseLost is the error of a query that may have run.
+var errResponseLost = errors.New("connection closed before the response was received")
 
 // Query runs query with the simple query protocol and returns the rows of the
-// last result. The error is that of the driver, or errAnswerLost.
+// last result. The error is that of the driver or, if the connection closed
+// during the query, errResponseLost.
 func Query(ctx context.Context, conn *pgconn.PgConn, query string) ([][]string, error) {
-	closed := conn.IsClosed()
+	wasClosed := conn.IsClosed()
 	results, err := conn.Exec(ctx, query).ReadAll()
-	if err != nil && !closed && err.Error() == driverClosedMessage {
-		return nil, errAnswerLost
+	if err != nil && !wasClosed && err.Error() == driverClosedMessage {
+		return nil, errResponseLost
 	}
 	if err != nil || len(results) == 0 {
 		return nil, err
--- a/internal/rosestack/deployment.go
+++ b/internal/rosestack/deployment.go
@@ -16,15 +16,18 @@
 // Deployment describes one customer's deployment: its size, latencies, tables,
 // tenants and classes.
 type Deployment struct {
-	Name           string
-	Databases      []string
-	Zones          []string
-	Proxies        int
+	Name      string
+	Databases []string
+	Zones     []string
+	Proxies   int
+	// Slots and MaxConnections apply to each target, as in rosetarget.Config.
 	Slots          int
 	MaxConnections int
-	// ZoneDelay and CallerDelay are one-way network delays.
+	// ZoneDelay is the one-way network delay between zones, CallerDelay that
+	// between a caller and any other host.
 	ZoneDelay   time.Duration
 	CallerDelay time.Duration
+	// ConnectTime and the times below are those of rosetarget.Config.
 	ConnectTime time.Duration
 	ReadTime    time.Duration
 	WriteTime   time.Duration
--- a/internal/rosestack/files.go
+++ b/internal/rosestack/files.go
@@ -50,7 +50,8 @@
 
 func (s *Stack) writeProxySettings(directory string, i int, base *net.TCPAddr) error {
 	d := s.Config.Deployment
-	address := func(step, i int) string { return fmt.Sprintf("%s:%d", base.IP, base.Port+step*portStep+i) }
+	// Kind is 0 for callers, 1 for peers and 2 for operators.
+	address := func(kind, n int) string { return fmt.Sprintf("%s:%d", base.IP, base.Port+kind*portStep+n) }
 	settings := rosesettings.Default()
 	settings.Name = fmt.Sprintf("proxy-%d", i+1)
 	settings.Zone = d.Zones[i%len(d.Zones)]
--- a/internal/rosestack/protocol_test.go
+++ b/internal/rosestack/protocol_test.go
@@ -22,11 +22,13 @@
 	return pgErr
 }
 
+// Errors of the proxy carry the outcome as detail and a hint; those of the target
+// are passed on. The connection must remain usable after either.
 func TestErrorsHaveCodeOutcomeAndHint(t *testing.T) {
 	withStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
 		conn := connect(c, stack, 0, nil)
 		defer conn.Close(context.Background())
-		for _, test := range []struct{ statement, state, detail string }{
+		for _, test := range []struct{ statement, code, detail string }{
 			{"LISTEN news", "0A000", "not run"},
 			{"COPY licences TO STDOUT", "0A000", "not run"},
 			{"CREATE TEMP TABLE t (id bigint)", "0A000", "not run"},
@@ -38,7 +40,7 @@
 			{"SELECT * FROM nowhere", "42P01", ""},
 		} {
 			pgErr := queryError(c, conn, test.statement)
-			c.Check(pgErr.Code, qt.Equals, test.state, qt.Commentf("%s", test.statement))
+			c.Check(pgErr.Code, qt.Equals, test.code, qt.Commentf("%s", test.statement))
 			c.Check(pgErr.Detail, qt.Equals, test.detail, qt.Commentf("%s", test.statement))
 			c.Check(pgErr.Hint != "" || test.detail == "", qt.IsTrue, qt.Commentf("%s", test.statement))
 		}
@@ -94,6 +96,8 @@
 	})
 }
 
+// A cancel request must not reach another session's statement, nor the session's
+// next statement if it arrives late.
 func TestCancelReachesOnlyItsOwnStatement(t *testing.T) {
 	withStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
 		ctx := context.Background()
@@ -116,6 +120,8 @@
 	})
 }
 
+// After a proxy crashes, another proxy must report the outcome of a request and
+// refuse to run it again.
 func TestOutcomeAfterProxyCrash(t *testing.T) {
 	for _, committed := range []bool{true, false} {
 		withStack(t, "guatemala", func(c *qt.C, stack *rosestack.Stack) {
--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -25,28 +25,35 @@
 // Config configures a Stack.
 type Config struct {
 	Deployment Deployment
-	InMemory   bool
+	// InMemory connects hosts without sockets, as testing/synctest requires.
+	InMemory bool
 	// WithoutProxies starts only the simulated targets and platform.
 	WithoutProxies bool
-	// Listen is the address of the first proxy. The others use the ports after
-	// it. If it is empty, proxies use free ports.
-	Listen   string
+	// Listen is the address on which the first proxy accepts callers. The other
+	// proxies use the ports after it. If it is empty, they all use free ports.
+	Listen string
+	// Baseline replaces policies of all proxies, for comparison.
 	Baseline rosedaemon.Baseline
 }
 
 // Stack is a running deployment.
 type Stack struct {
-	Config        Config
-	Network       *rosenet.Network
-	Groups        map[string]*rosetarget.Group
-	Proxies       []*Proxy
+	Config  Config
+	Network *rosenet.Network
+	// Clusters holds the targets of each database by its name.
+	Groups map[string]*rosetarget.Group
+	// Proxies holds the last run of each proxy, whether or not it is running.
+	Proxies []*Proxy
+	// InitialBundle is the content of the first bundle. Later proposals do not
+	// change it.
 	InitialBundle *rosebundle.Content
 	// Platform simulates the platform's key-value service and VM list.
 	Platform        *rosekv.Server
 	platformAddress string
 	platformTasks   sync.WaitGroup
 	keys            *rosesession.Keys
-	mu              sync.Mutex
+	// mu guards Proxies.
+	mu sync.Mutex
 }
 
 // Proxy is one proxy of the stack.
@@ -58,11 +65,12 @@
 	listener     net.Listener
 	peerListener net.Listener
 	adminServer  *http.Server
-	// AdminAddress is the address for operators' requests.
+	// AdminAddress is the address of adminServer, which serves operators.
 	AdminAddress string
 	store        *rosestore.Client
 	tasks        sync.WaitGroup
-	down         atomic.Bool
+	// down is set as soon as Kill or Drain is called.
+	down atomic.Bool
 }
 
 // startTimeout bounds the creation of the tables and the wait until all proxies
@@ -147,8 +155,9 @@
 	return nil
 }
 
-// publishMembers updates the platform's VM list to the running proxies.
-func (s *Stack) publishMembers() {
+// updateMembers sets the platform's VM list to the running proxies. Proxies see
+// the change after memberListLag.
+func (s *Stack) updateMembers() {
 	var members []rosemary.Member
 	for _, p := range s.RunningProxies() {
 		members = append(members, rosemary.Member{
@@ -160,6 +169,8 @@
 	s.Platform.SetMembers(members)
 }
 
+// startTargets starts one target per zone for each database. The first target
+// is the initial primary; those of different databases are in different zones.
 func (s *Stack) startTargets() error {
 	d := s.Config.Deployment
 	for i, name := range d.Databases {
@@ -225,8 +236,8 @@
 	return nil
 }
 
-// StartProxy starts or restarts proxy i. A restarted proxy keeps its addresses
-// for callers and peers.
+// StartProxy starts proxy i, or restarts it after Kill or Drain. A restarted
+// proxy keeps its addresses for callers and peers.
 func (s *Stack) StartProxy(i int) (*Proxy, error) {
 	d := s.Config.Deployment
 	p := &Proxy{Name: fmt.Sprintf("proxy-%d", i+1), Zone: d.Zones[i%len(d.Zones)]}
@@ -267,7 +278,7 @@
 		s.Proxies = append(s.Proxies, p)
 	}
 	s.mu.Unlock()
-	s.publishMembers()
+	s.updateMembers()
 	return p, nil
 }
 
@@ -282,8 +293,8 @@
 	return nil
 }
 
-// peerAddress returns the peer address of the previous run of proxy i, if any:
-// a VM keeps its address across restarts.
+// peerAddress returns the peer address of the previous run of proxy i, if any,
+// as a VM keeps its address across restarts of the proxy.
 func (s *Stack) peerAddress(i int) string {
 	if i < len(s.Proxies) {
 		return s.Proxies[i].peerListener.Addr().String()
@@ -291,7 +302,7 @@
 	return ""
 }
 
-// RunningProxies returns the proxies that accept callers.
+// RunningProxies returns the proxies that have not been killed or drained.
 func (s *Stack) RunningProxies() []*Proxy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -319,7 +330,8 @@
 	return address.String()
 }
 
-// Kill stops the proxy without draining it, as a crash of its VM would.
+// Kill closes the proxy's connections and stops it without draining, as a crash
+// of its process would.
 func (p *Proxy) Kill() {
 	p.down.Store(true)
 	p.listener.Close()
--- a/internal/rosestack/stack_test.go
+++ b/internal/rosestack/stack_test.go
@@ -36,7 +36,8 @@
 	})
 }
 
-// connect opens a caller's connection to proxy i as the first tenant.
+// connect opens a caller's connection to proxy i, as the first tenant and to the
+// first database.
 func connect(c *qt.C, stack *rosestack.Stack, i int, settings map[string]string) *pgconn.PgConn {
 	conn, err := rosestack.Connect(context.Background(), stack.CallerDialer("caller"), stack.Proxies[i].Address, rosestack.CallerConfig{
 		Tenant:   stack.InitialBundle.Tenants[0].Name,
@@ -53,6 +54,8 @@
 	return rows
 }
 
+// A session resumed on another proxy, by its token or by its name, must see its
+// own writes although a replica lags.
 func TestReadYourWritesOnAnotherProxy(t *testing.T) {
 	for _, resume := range []string{"token", "name"} {
 		t.Run(resume, func(t *testing.T) {
@@ -79,6 +82,8 @@
 	}
 }
 
+// A write must not be acknowledged before a replica has it: the primary alone is
+// no quorum.
 func TestWriteWaitsForAQuorum(t *testing.T) {
 	withStack(t, "guatemala", func(c *qt.C, stack *rosestack.Stack) {
 		cluster := stack.Groups["carreras1"]
@@ -101,14 +106,14 @@
 }
 
 // Slow watch responses of targets and a lagging replica must not cause a
-// failover within an hour. The test runs for 3 minutes by default;
-// ROSEMARY_QUIET sets another duration.
+// failover. The test simulates 3 minutes, or the duration in ROSEMARY_QUIET, such
+// as 1h.
 func TestNoUnneededFailover(t *testing.T) {
 	duration := 3 * time.Minute
 	if text := os.Getenv("ROSEMARY_QUIET"); text != "" {
-		longer, err := time.ParseDuration(text)
+		parsed, err := time.ParseDuration(text)
 		qt.New(t).Assert(err, qt.IsNil)
-		duration = longer
+		duration = parsed
 	}
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
