--- a/internal/roseload/bundles.go
+++ b/internal/roseload/bundles.go
@@ -10,8 +10,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/roseclock"
 )
 
-// observeInterval is the polling interval for the versions in force, and hence
-// the resolution of the rollout times.
+// observeInterval is the interval at which the versions in force are polled. It
+// limits the resolution of the rollout times.
 const observeInterval = 5 * time.Millisecond
 
 // bundleTracker records when each accepted version came into force on each
@@ -19,9 +19,13 @@
 type bundleTracker struct {
 	run *run
 
-	mu              sync.Mutex
-	acceptedAt      map[uint64]time.Time
-	inForceAt       map[uint64]map[string]time.Time
+	mu         sync.Mutex
+	acceptedAt map[uint64]time.Time
+	// inForceAt holds the time at which each version came into force, by the name
+	// of the proxy.
+	inForceAt map[uint64]map[string]time.Time
+	// highestVersions holds the highest version of each proxy by name, across
+	// restarts. lastVersions holds the last version of each run of a proxy.
 	highestVersions map[string]uint64
 	lastVersions    map[*rosestack.Proxy]uint64
 	// reversions counts changes of a proxy, also by a restart, to an older
@@ -67,6 +71,7 @@
 		return
 	}
 	b.highestVersions[p.Name] = version
+	// A version that was skipped counts as in force, as a later one replaced it.
 	for v := last + 1; v <= version; v++ {
 		if b.inForceAt[v] == nil {
 			b.inForceAt[v] = make(map[string]time.Time)
@@ -89,8 +94,8 @@
 	return nil
 }
 
-// markUnreachable records that a bundle can't reach the proxies of a zone, or
-// the proxy of the given name.
+// markUnreachable records that the proxies of a zone, or the proxy of the given
+// name, can't receive bundles.
 func (b *bundleTracker) markUnreachable(zone, name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,7 +106,7 @@
 	}
 }
 
-// markReachable records that bundles can reach the unreachable proxies again.
+// markReachable records that the unreachable proxies can receive bundles again.
 func (b *bundleTracker) markReachable() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/roseload/check.go
+++ b/internal/roseload/check.go
@@ -9,17 +9,23 @@
 	"github.com/rosemarywell/rosemarywell/internal/rosetarget"
 )
 
-// findings holds the numbers of violations in a history. They are part of the
-// printed report.
+// findings holds the numbers of violations in a history. Its field names are
+// keys of the printed report.
 type findings struct {
 	AcknowledgedLost         int
 	ReadYourWritesViolations int
-	StaleBeyondAge           int
-	DoubleRuns               int
-	MixedTransactions        int
-	WrongAnswers             int
-	FalseNotRun              int
-	NotLinearizable          int
+	// StaleBeyondAge counts values read that were older than their class allows.
+	StaleBeyondAge int
+	DoubleRuns     int
+	// MixedTransactions counts log records with writes of several transactions,
+	// or with a part of one.
+	MixedTransactions int
+	// WrongAnswers counts responses that do not match their request.
+	WrongAnswers int
+	// FalseNotRun counts operations that were reported as not run, or as
+	// duplicates, but are in the log.
+	FalseNotRun     int
+	NotLinearizable int
 	// Examples describes the first maxExamples violations.
 	Examples []string
 }
@@ -45,7 +51,7 @@
 // database.
 type survivingLog struct {
 	registers map[string]*register
-	// executions counts the rows that each request inserted.
+	// executions counts the rows that each request inserted, one per execution.
 	executions map[string]int
 	// insertedRows holds the inserted rows as "request:attempt".
 	insertedRows map[string]bool
@@ -54,7 +60,9 @@
 	mixedRecords []string
 }
 
-// readSurvivingLog reads the log of the target with the highest position.
+// readSurvivingLog reads the log of the target with the highest position. As
+// positions compare by term first, records that a failover discarded are not in
+// it.
 func (r *run) readSurvivingLog(database string) *survivingLog {
 	var newest *rosetarget.Target
 	for _, t := range r.stack.Groups[database].Targets() {
@@ -95,8 +103,8 @@
 	}
 }
 
-// MaxTransactionRows bounds the registers that a transaction of the load sets.
-// Log records with more are from the creation of the tables.
+// maxTransactionRows is at least the number of registers that a transaction of
+// the load sets. Log records that set more are from the creation of the tables.
 const maxTransactionRows = 10
 
 func (sl *survivingLog) set(key string, value int64, at time.Time) {
@@ -141,9 +149,9 @@
 	for _, m := range sl.mixedRecords {
 		f.add(&f.MixedTransactions, "%s", m)
 	}
-	for request, runs := range sl.executions {
-		if runs > 1 {
-			f.add(&f.DoubleRuns, "request %s was executed %d times", request, runs)
+	for request, count := range sl.executions {
+		if count > 1 {
+			f.add(&f.DoubleRuns, "request %s was executed %d times", request, count)
 		}
 	}
 	for _, o := range operations {
@@ -186,8 +194,8 @@
 	}
 }
 
-// checkAge finds values that had been overwritten for longer than the maximum
-// age of the class when the read was sent.
+// checkAge finds reads of a value that was overwritten more than MaxAge before
+// the read was sent.
 func (f *findings) checkAge(sl *survivingLog, o Operation) {
 	for key, value := range o.ReadValues {
 		reg := sl.registers[key]
--- a/internal/roseload/fault_bundle.go
+++ b/internal/roseload/fault_bundle.go
@@ -81,8 +81,8 @@
 	f.run.markLeaving(string(replica.Status().Target))
 }
 
-// injectProxyRestart replaces half of the proxies, one at a time, and proposes a
-// bundle while each is down. A replaced proxy has no bundle on its new VM.
+// injectProxyRestart kills and restarts half of the proxies, one at a time, and
+// proposes a bundle while each is down. A restarted proxy has no bundle at first.
 func injectProxyRestart(ctx context.Context, f *injector) {
 	for i := range len(f.run.stack.Proxies) / 2 {
 		f.run.bundles.markUnreachable("", f.run.stack.Proxies[i].Name)
@@ -108,8 +108,8 @@
 	f.run.bundles.markReachable()
 }
 
-// injectStoreDownAtBoot takes the store down and then replaces a proxy, which
-// has to fetch the bundle from its peers.
+// injectStoreDownAtBoot takes the store down and then kills and restarts a proxy,
+// which has to fetch the bundle from its peers.
 func injectStoreDownAtBoot(ctx context.Context, f *injector) {
 	f.proposeBundle(ctx, raiseWeight)
 	roseclock.Sleep(ctx, time.Second)
@@ -117,12 +117,12 @@
 	f.run.stack.Proxies[0].Kill()
 	roseclock.Sleep(ctx, restartDelay)
 	f.restartProxy(0)
-	f.run.bundles.awaitServing(ctx, f.run.stack.Proxies[0])
+	f.run.bundles.awaitBundle(ctx, f.run.stack.Proxies[0])
 }
 
-// awaitServing waits until a new proxy has a bundle in force, and logs how long
-// that took.
-func (b *bundleTracker) awaitServing(ctx context.Context, p *rosestack.Proxy) {
+// awaitBundle waits until a restarted proxy has a bundle in force, and logs how
+// long that took.
+func (b *bundleTracker) awaitBundle(ctx context.Context, p *rosestack.Proxy) {
 	started := time.Now()
 	for p.BundleVersion() == 0 && roseclock.Sleep(ctx, observeInterval) {
 		continue
--- a/internal/roseload/fault_overload.go
+++ b/internal/roseload/fault_overload.go
@@ -2,8 +2,9 @@
 
 import "context"
 
-// overloadFactor is the load of the overloading tenant as a multiple of its fair
-// share of the replicas' capacity. The load of other tenants does not change.
+// overloadFactor is the load that an overload adds, as a multiple of the
+// overloading tenant's fair share of the replicas' capacity. The load of other
+// tenants does not change.
 const overloadFactor = 10
 
 func init() {
@@ -22,7 +23,7 @@
 	f.overloadTenant = ""
 }
 
-// overloadRate returns the requests per second of the overloading tenant.
+// overloadRate returns the number of requests per second that an overload adds.
 func (r *run) overloadRate() float64 {
 	d := r.config.Deployment
 	replicas := float64(len(d.Databases) * (len(d.Zones) - 1))
@@ -34,7 +35,7 @@
 	return overloadFactor * capacity * r.weight(r.mix.scanTenant) / weights
 }
 
-// overloadShare returns the overloading tenant's share of all requests.
+// overloadShare returns the share of all requests that an overload adds.
 func (r *run) overloadShare() float64 {
 	return r.overloadRate() / (r.overloadRate() + r.config.Rate)
 }
--- a/internal/roseload/fault_replicas.go
+++ b/internal/roseload/fault_replicas.go
@@ -36,7 +36,7 @@
 }
 
 // injectStalledConnections permanently stalls all open connections of a random
-// target, three times.
+// target. It does so three times, a second apart.
 func injectStalledConnections(ctx context.Context, f *injector) {
 	targets := f.run.stack.Groups[f.database()].Targets()
 	for range 3 {
--- a/internal/roseload/fault_store.go
+++ b/internal/roseload/fault_store.go
@@ -10,8 +10,8 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosepeer"
 )
 
-// supervisorPartitionTime is how long the supervisor is partitioned from all
-// other hosts.
+// supervisorPartitionTime is how long the first supervisor is partitioned from
+// all other hosts.
 const supervisorPartitionTime = 3 * time.Second
 
 func init() {
@@ -45,9 +45,9 @@
 	f.run.stack.Platform.SetDropResponses(false)
 }
 
-// injectSupervisorPartition partitions the proxy that is first in line to
-// replace the primary and then crashes the primary, so that the next supervisor
-// has to act.
+// injectSupervisorPartition partitions the proxy whose supervisor ranks first for
+// the database, and then crashes the primary, so that the supervisor of another
+// proxy has to promote a replica.
 func injectSupervisorPartition(ctx context.Context, f *injector) {
 	var members []rosemary.Member
 	for _, p := range f.run.stack.RunningProxies() {
--- a/internal/roseload/faults.go
+++ b/internal/roseload/faults.go
@@ -89,6 +89,8 @@
 	return nil
 }
 
+// heal ends the selected faults and waits for their background tasks. Only the
+// first call has an effect.
 func (f *injector) heal() {
 	f.healOnce.Do(func() {
 		for _, s := range f.selected {
@@ -101,7 +103,7 @@
 }
 
 // nextOverloadRequest returns the overloading tenant, if any, and whether the
-// next request is one of its additional requests.
+// next request is one that the overload adds.
 func (f *injector) nextOverloadRequest(random *rand.Rand) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,10 +128,11 @@
 	return f.random.IntN(n)
 }
 
-// database returns the database that faults of a single group affect.
+// database returns the database that faults affect if they affect only one.
 func (f *injector) database() string { return f.run.config.Deployment.Databases[0] }
 
-// primary returns the target that leads the highest term of the database.
+// primary returns the target that leads the highest term of the database, or nil
+// if there is none.
 func (f *injector) primary() *rosetarget.Target {
 	var primary *rosetarget.Target
 	term := uint64(0)
--- a/internal/roseload/history.go
+++ b/internal/roseload/history.go
@@ -1,6 +1,6 @@
-// Package roseload generates load on a deployment with its customer's mix of
-// requests, injects faults, records the history of operations that callers saw
-// and checks its consistency.
+// Package roseload generates load on a deployment, with the mix of requests that
+// is typical of the customer, and injects faults. It records the history of the
+// operations as callers observed them and checks its consistency.
 package roseload
 
 import (
@@ -11,7 +11,7 @@
 // Kind is the kind of an operation.
 type Kind string
 
-// Kinds of operations.
+// Kinds of operations. A register is the version column of a row.
 const (
 	// KindRead reads registers with a declared class.
 	KindRead Kind = "read"
@@ -36,7 +36,8 @@
 	OutcomeDuplicate Outcome = "duplicate"
 )
 
-// Operation is one request and its response, as the caller saw them.
+// Operation is one attempt of a request and its response, as the caller observed
+// them.
 type Operation struct {
 	Session  string
 	Tenant   string
@@ -44,7 +45,8 @@
 	Database string
 	Kind     Kind
 	// Key is the register's key or, for KindInsert, the request identifier.
-	Key   string
+	Key string
+	// Value is the value that a write or a swap sets.
 	Value int64
 	// Attempt counts the attempts of a KindInsert with one request identifier,
 	// from 1.
@@ -53,7 +55,8 @@
 	ReadValues map[string]int64
 	// WrongAnswer is set if the response does not match the request.
 	WrongAnswer bool
-	MaxAge      time.Duration
+	// MaxAge is the maximum age of the data that a read may return.
+	MaxAge time.Duration
 	// Due is the scheduled arrival of the request, from which its latency
 	// counts. Start is when it was sent.
 	Due     time.Time
--- a/internal/roseload/linear.go
+++ b/internal/roseload/linear.go
@@ -15,26 +15,26 @@
 	return sorted
 }
 
-// swapInput is the input of a transaction that reads and sets a register.
-type swapInput struct {
+// registerInput is the input of an operation that sets a register.
+type registerInput struct {
 	value int64
-	// writeOnly is set for a write that does not read the register.
+	// writeOnly is set for a write, which does not read the register.
 	writeOnly bool
 }
 
-// swapOutput is the output of a transaction. With an unknown outcome, the value
-// read is ignored.
-type swapOutput struct {
+// registerOutput is the output of an operation that sets a register. If the
+// outcome is unknown, the value read is ignored.
+type registerOutput struct {
 	readValue int64
 	unknown   bool
 }
 
-// swapModel is the sequential specification of a register. An operation of
+// registerModel is the sequential specification of a register. An operation of
 // unknown outcome leads to both possible states.
-var swapModel = porcupine.NondeterministicModel{
+var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, output any) []any {
-		in, out := input.(swapInput), output.(swapOutput)
+		in, out := input.(registerInput), output.(registerOutput)
 		switch {
 		case out.unknown:
 			return []any{state, in.value}
@@ -50,8 +50,9 @@
 // into it does not count as a violation.
 const linearizabilityTimeout = 20 * time.Second
 
-// checkRegisters checks with porcupine that the operations on each register are
-// linearizable. A lost or repeated swap breaks the chain of values read.
+// checkRegisters checks with porcupine that the writes and swaps of each register
+// are linearizable. After a lost or repeated swap, a later swap reads a value
+// that does not fit. Reads are left out, as their classes allow older values.
 func (f *findings) checkRegisters(database string, operations []Operation) {
 	histories := make(map[string][]porcupine.Operation)
 	clients := make(map[string]int)
@@ -62,14 +63,14 @@
 		if _, known := clients[o.Session]; !known {
 			clients[o.Session] = len(clients)
 		}
-		out := swapOutput{readValue: o.ReadValues[o.Key], unknown: o.Outcome != OutcomeAnswered}
+		out := registerOutput{readValue: o.ReadValues[o.Key], unknown: o.Outcome != OutcomeAnswered}
 		end := o.End.UnixNano()
 		if out.unknown {
 			end = farFuture
 		}
 		histories[o.Key] = append(histories[o.Key], porcupine.Operation{
 			ClientId: clients[o.Session],
-			Input:    swapInput{value: o.Value, writeOnly: o.Kind == KindWrite},
+			Input:    registerInput{value: o.Value, writeOnly: o.Kind == KindWrite},
 			Call:     o.Start.UnixNano(),
 			Output:   out,
 			Return:   end,
@@ -80,7 +81,7 @@
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, cmp.Compare)
-	model := swapModel.ToModel()
+	model := registerModel.ToModel()
 	for _, key := range keys {
 		if porcupine.CheckOperationsTimeout(model, histories[key], linearizabilityTimeout) == porcupine.Illegal {
 			f.add(&f.NotLinearizable, "operations on register %s of database %s are not linearizable", key, database)
--- a/internal/roseload/main_test.go
+++ b/internal/roseload/main_test.go
@@ -9,7 +9,7 @@
 	"k8s.io/klog/v2"
 )
 
-// TestMain discards the logs of the simulated proxies, unless
+// TestMain discards the logs of the proxies and the load generator, unless
 // ROSEMARY_TEST_LOG is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("ROSEMARY_TEST_LOG") == "" {
--- a/internal/roseload/mix.go
+++ b/internal/roseload/mix.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// registerCount is the number of rows that operations use. Swaps change the
-// first half, writes the second.
+// registerCount is the number of registers per database, which must not exceed
+// rosestack.SeedRowCount. Swaps change the first half, writes the second.
 const registerCount = 100
 
-// mix is a customer's mix of requests: the share, class, tenant and SQL of each
-// kind.
+// mix is a customer's mix of reads by key, scans, writes, inserts and swaps:
+// their shares, classes, tenants and SQL.
 type mix struct {
 	// readShare is for reads by key, scanShare for reads by range. The remaining
 	// share is for swaps.
@@ -20,13 +20,17 @@
 	writeClass, insertClass                       string
 	readTenant, scanTenant                        string
 	writeTenant                                   string
-	readMaxAge, scanMaxAge                        time.Duration
-	key                                           func(i int) string
-	table                                         string
-	versionField                                  int
-	insertTable                                   string
-	writeSQL                                      func(i int, value int64) string
-	insertSQL                                     func(id string, i int) string
+	// readMaxAge and scanMaxAge are the MaxAge of readClass and scanClass.
+	readMaxAge, scanMaxAge time.Duration
+	// key returns the primary key of the row of register i.
+	key   func(i int) string
+	table string
+	// versionField is the index of the version column.
+	versionField int
+	insertTable  string
+	writeSQL     func(i int, value int64) string
+	// insertSQL inserts a row that refers to the row of register i.
+	insertSQL func(id string, i int) string
 }
 
 // scanRows is the number of rows of a read by range.
--- a/internal/roseload/report.go
+++ b/internal/roseload/report.go
@@ -19,20 +19,24 @@
 	Reads            int
 	ReplicaReads     uint64
 	ReplicaReadShare float64
-	Writes           int
-	Acknowledged     int
-	NotRun           int
-	Unknown          int
-	Duplicates       int
-	Unsent           int64
+	// Writes counts the operations of all other kinds, Acknowledged those of them
+	// that were answered.
+	Writes       int
+	Acknowledged int
+	NotRun       int
+	Unknown      int
+	Duplicates   int
+	// Unsent counts the requests for which there was no session.
+	Unsent int64
 
 	ReadP50Ms  float64
 	ReadP99Ms  float64
 	WriteP50Ms float64
 	WriteP99Ms float64
 
-	// FailoverGapMs is the longest time between two consecutive acknowledged
-	// writes to the first database that ends after the fault was injected.
+	// FailoverGapMs is the longest time between consecutive acknowledged writes
+	// to the first database. If faults were injected, only gaps that end after
+	// the injection count.
 	FailoverGapMs float64
 	// BundleP50Seconds and BundleP99Seconds are percentiles, over bundles and
 	// proxies, of the time from acceptance to being in force.
@@ -54,7 +58,8 @@
 	findings
 }
 
-// TenantReport holds the results of one tenant.
+// TenantReport holds the results of one tenant, only for the time of the faults
+// if any were injected.
 type TenantReport struct {
 	Name     string
 	Sent     int
@@ -89,6 +94,7 @@
 		if o.Kind == KindRead {
 			reads = append(reads, o.End.Sub(o.Due))
 		} else if o.Attempt <= 1 {
+			// The latency of a retry would include the earlier attempts.
 			writes = append(writes, o.End.Sub(o.Due))
 		}
 	}
@@ -138,9 +144,9 @@
 	}
 }
 
-// replicaReads returns the number and share of reads with a declared class that
-// replicas answered. Reads through a proxy before its last start are not
-// counted.
+// replicaReads returns how many of the answered reads with a declared class
+// replicas answered, as a number and as a share. Reads through a proxy before
+// its last start are not counted.
 func (r *run) replicaReads() (uint64, float64) {
 	var replica, primary uint64
 	for _, p := range r.stack.Proxies {
@@ -155,9 +161,7 @@
 	return replica, float64(replica) / float64(replica+primary)
 }
 
-// failoverGap returns the longest time without an acknowledged write to the
-// first database, over the whole run if no fault was injected. Otherwise, only
-// gaps that end after the injection count.
+// failoverGap returns Report.FailoverGapMs.
 func (r *run) failoverGap(operations []Operation) float64 {
 	var ends []time.Time
 	for _, o := range operations {
@@ -203,48 +207,48 @@
 	return start.IsZero() || o.Due.After(start) && o.Due.Before(start.Add(r.config.Duration/3))
 }
 
-// fairness compares the tenants' answered requests with the weighted max-min
-// fair division of all answered requests.
+// fairness returns Jain's fairness index of the tenants' answered requests,
+// relative to the weighted max-min fair division of all answered requests.
 func (r *run) fairness(reports []TenantReport) float64 {
-	capacity, unsatisfied := 0.0, make(map[string]float64)
+	capacity, unsatisfiedDemand := 0.0, make(map[string]float64)
 	for _, rep := range reports {
 		capacity += float64(rep.Answered)
 		if rep.Sent > 0 {
-			unsatisfied[rep.Name] = float64(rep.Sent)
+			unsatisfiedDemand[rep.Name] = float64(rep.Sent)
 		}
 	}
-	fair := make(map[string]float64)
-	for len(unsatisfied) > 0 {
+	fairShares := make(map[string]float64)
+	for len(unsatisfiedDemand) > 0 {
 		weights := 0.0
-		for name := range unsatisfied {
+		for name := range unsatisfiedDemand {
 			weights += r.weight(name)
 		}
 		satisfied := ""
-		for name, demand := range unsatisfied {
+		for name, demand := range unsatisfiedDemand {
 			if demand <= capacity*r.weight(name)/weights {
 				satisfied = name
 			}
 		}
 		if satisfied == "" {
-			for name := range unsatisfied {
-				fair[name] = capacity * r.weight(name) / weights
+			for name := range unsatisfiedDemand {
+				fairShares[name] = capacity * r.weight(name) / weights
 			}
 			break
 		}
-		fair[satisfied] = unsatisfied[satisfied]
-		capacity -= unsatisfied[satisfied]
-		delete(unsatisfied, satisfied)
+		fairShares[satisfied] = unsatisfiedDemand[satisfied]
+		capacity -= unsatisfiedDemand[satisfied]
+		delete(unsatisfiedDemand, satisfied)
 	}
-	return jainIndex(reports, fair)
+	return jainIndex(reports, fairShares)
 }
 
-func jainIndex(reports []TenantReport, fair map[string]float64) float64 {
+func jainIndex(reports []TenantReport, fairShares map[string]float64) float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 	for _, rep := range reports {
-		if fair[rep.Name] == 0 {
+		if fairShares[rep.Name] == 0 {
 			continue
 		}
-		x := float64(rep.Answered) / fair[rep.Name]
+		x := float64(rep.Answered) / fairShares[rep.Name]
 		sum += x
 		squares += x * x
 		n++
@@ -264,12 +268,13 @@
 	return 1
 }
 
-func percentile(times []time.Duration, share float64) float64 {
+// percentile returns a quantile of times in milliseconds. It sorts times.
+func percentile(times []time.Duration, quantile float64) float64 {
 	if len(times) == 0 {
 		return 0
 	}
 	slices.SortFunc(times, cmp.Compare)
-	return milliseconds(times[min(int(share*float64(len(times))), len(times)-1)])
+	return milliseconds(times[min(int(quantile*float64(len(times))), len(times)-1)])
 }
 
 func milliseconds(d time.Duration) float64 {
--- a/internal/roseload/run.go
+++ b/internal/roseload/run.go
@@ -20,15 +20,17 @@
 // Config configures a run.
 type Config struct {
 	Deployment rosestack.Deployment
-	// Duration is how long requests arrive.
+	// Duration is the time during which requests are sent.
 	Duration time.Duration
 	Seed     uint64
-	// Rate is the mean number of requests per second.
+	// Rate is the mean number of requests per second. Zero means defaultRate.
 	Rate float64
 	// Faults are the names of the faults to inject, one after the other without
 	// a pause.
-	Faults   []string
+	Faults []string
+	// Baseline replaces policies of the proxies, for comparison.
 	Baseline rosedaemon.Baseline
+	// InMemory is as in rosestack.Config.
 	InMemory bool
 	// Progress receives a line per second. It may be nil.
 	Progress io.Writer
@@ -38,28 +40,32 @@
 	// defaultRate is a rate that both deployments sustain without a fault.
 	defaultRate = 600
 	// maxSessions bounds the sessions of a run. At this bound, a request that
-	// finds no idle session is not sent.
+	// finds no idle session is counted as unsent.
 	maxSessions = 1500
 	// warmUp is how long the stack runs before the load starts.
 	warmUp = 700 * time.Millisecond
-	// settleTime is how long replicas can catch up after the load.
+	// settleTime is how long the stack runs after the load, so that replicas and
+	// bundles can catch up.
 	settleTime = 3 * time.Second
 )
 
 // run holds the state of one run.
 type run struct {
-	config    Config
-	mix       mix
-	stack     *rosestack.Stack
-	history   history
-	lastValue atomic.Int64
-	unsent    atomic.Int64
-	lastSeed  atomic.Uint64
-	injector  *injector
-	bundles   *bundleTracker
-	leaving   leavingTarget
-
-	mu           sync.Mutex
+	config  Config
+	mix     mix
+	stack   *rosestack.Stack
+	history history
+	// lastValue is the last number that nextValue returned. Values are unique, so
+	// that each identifies its write.
+	lastValue       atomic.Int64
+	unsent          atomic.Int64
+	lastSessionSeed atomic.Uint64
+	injector        *injector
+	bundles         *bundleTracker
+	leaving         leavingTarget
+
+	mu sync.Mutex
+	// idle holds the idle sessions by tenant and database.
 	idle         map[string][]*session
 	sessionCount int
 }
@@ -84,7 +90,7 @@
 		return nil, err
 	}
 	r.bundles = newBundleTracker(r)
-	r.lastSeed.Store(config.Seed)
+	r.lastSessionSeed.Store(config.Seed)
 	time.Sleep(warmUp)
 	observerCtx, stop := context.WithCancel(ctx)
 	var observer sync.WaitGroup
@@ -166,11 +172,12 @@
 func (r *run) takeSession(tenant, database string) *session {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	pool := tenant + "/" + database
-	if idle := r.idle[pool]; len(idle) > 0 {
+	key := tenant + "/" + database
+	if idle := r.idle[key]; len(idle) > 0 {
+		// lastValue only varies which session is taken.
 		i := int(r.lastValue.Load()) % len(idle)
 		s := idle[i]
-		r.idle[pool] = slices.Delete(idle, i, i+1)
+		r.idle[key] = slices.Delete(idle, i, i+1)
 		return s
 	}
 	if r.sessionCount >= maxSessions {
@@ -179,7 +186,7 @@
 	r.sessionCount++
 	return &session{
 		run:      r,
-		random:   rand.New(rand.NewPCG(r.lastSeed.Add(1), 2)),
+		random:   rand.New(rand.NewPCG(r.lastSessionSeed.Add(1), 2)),
 		dialer:   r.stack.CallerDialer(fmt.Sprintf("caller-%d", r.sessionCount)),
 		database: database,
 		tenant:   tenant,
@@ -189,8 +196,8 @@
 func (r *run) returnSession(s *session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	pool := s.tenant + "/" + s.database
-	r.idle[pool] = append(r.idle[pool], s)
+	key := s.tenant + "/" + s.database
+	r.idle[key] = append(r.idle[key], s)
 }
 
 func (r *run) disconnectIdle() {
@@ -203,8 +210,8 @@
 	}
 }
 
-// addresses returns the addresses of the running proxies, as a load balancer
-// would use them.
+// addresses returns the addresses of the running proxies, among which a load
+// balancer would choose.
 func (r *run) addresses() []string {
 	var addresses []string
 	for _, p := range r.stack.RunningProxies() {
@@ -215,7 +222,7 @@
 
 func (r *run) nextValue() int64 { return r.lastValue.Add(1) }
 
-// leavingTarget is a target that should get no new work from since on.
+// leavingTarget is a target that was marked as leaving, and when it was.
 type leavingTarget struct {
 	id    string
 	since time.Time
--- a/internal/roseload/run_test.go
+++ b/internal/roseload/run_test.go
@@ -15,7 +15,8 @@
 	"github.com/rosemarywell/rosemarywell/internal/rosestack"
 )
 
-// runFaults runs a load with faults in a synctest bubble and returns its report.
+// runFaults runs a deployment under load with the given faults, in a synctest
+// bubble, and returns the report.
 func runFaults(t *testing.T, deployment, faults string, seed uint64, rate float64, baseline rosedaemon.Baseline) *roseload.Report {
 	var report *roseload.Report
 	synctest.Test(t, func(t *testing.T) {
@@ -40,7 +41,7 @@
 	return report
 }
 
-// faultCases are the single and combined faults to test.
+// faultCases are the single and combined faults of TestHistoriesKeepEveryPromise.
 var faultCases = []string{
 	"none",
 	"replica-lag",
--- a/internal/roseload/session.go
+++ b/internal/roseload/session.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// operationTimeout is the caller's timeout of an operation, with its retries.
+	// operationTimeout bounds a request of the caller, including its retries.
 	operationTimeout = 15 * time.Second
 	// reconnectProbability is the probability that a session reconnects before
 	// an operation.
@@ -38,9 +38,10 @@
 	conn     *pgconn.PgConn
 }
 
-// ensureConnected connects to a random proxy if there is no open connection or,
-// with reconnectProbability, if there is one. A new connection resumes the
-// session by its token or its name, or starts another session.
+// ensureConnected opens a connection if none is open, and with
+// reconnectProbability replaces an open one. It tries all proxies, starting with
+// a random one. The connection resumes the session by its token or its name, or
+// starts another session.
 func (s *session) ensureConnected(ctx context.Context) error {
 	if s.conn != nil && !s.conn.IsClosed() && s.random.Float64() >= reconnectProbability {
 		return nil
@@ -86,7 +87,7 @@
 	s.conn = nil
 }
 
-// perform runs one operation and adds it to the history.
+// perform runs one request and adds each of its attempts to the history.
 func (s *session) perform(ctx context.Context, kind Kind, due time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
@@ -136,7 +137,8 @@
 }
 
 // classify returns the outcome that an error of the driver reports, and the
-// error's text.
+// error's text. An error that a target returned has no outcome and counts as not
+// run, as its statement failed.
 func classify(err error) (Outcome, string) {
 	var serverError *pgconn.PgError
 	switch {
@@ -168,6 +170,7 @@
 	s.recordRead(&o, s.execute(ctx, &o, m.readSQL(i)), m.key(i), 1)
 }
 
+// recordRead adds a read to the history. Key is empty for a scan.
 func (s *session) recordRead(o *Operation, rows [][]string, key string, wantRows int) {
 	o.Key = key
 	o.ReadValues = make(map[string]int64)
@@ -194,9 +197,9 @@
 	s.run.history.add(o)
 }
 
-// insert sends a request with a request identifier and, as a careful caller
-// would, retries it with the same identifier until it is answered or refused as
-// a duplicate.
+// insert sends a request with a request identifier. It retries the request with
+// the same identifier until it is answered or refused as a duplicate, making at
+// most maxInsertAttempts attempts.
 func (s *session) insert(ctx context.Context, o Operation) {
 	m := s.run.mix
 	i := s.random.IntN(registerCount)
@@ -236,6 +239,7 @@
 		rows := s.execute(ctx, &o, step)
 		o.Start = started
 		if o.Outcome != OutcomeAnswered {
+			// Without a COMMIT, the transaction has no effect.
 			if n < len(steps)-1 {
 				o.Outcome = OutcomeNotRun
 			}
