--- a/internal/rosekv/server.go
+++ b/internal/rosekv/server.go
@@ -1,6 +1,6 @@
-// Package rosekv implements a fake of the platform's key-value service, which
-// speaks the JSON gateway protocol of etcd, and of its list of VMs. It can be
-// made unresponsive or slow, drop responses, and serve stale reads.
+// Package rosekv implements a fake of two of the platform's services: the
+// key-value store, over the JSON gateway protocol of etcd, and the list of VMs. It
+// can be made unresponsive or slow, drop responses, and serve stale reads.
 package rosekv
 
 import (
@@ -25,9 +25,11 @@
 type Server struct {
 	http *http.Server
 
-	mu             sync.Mutex
-	changed        chan struct{}
-	values         map[string]versionedValue
+	mu sync.Mutex
+	// changed is closed and replaced at every change.
+	changed chan struct{}
+	values  map[string]versionedValue
+	// staleValues is returned by reads while staleReads is set.
 	staleValues    map[string]versionedValue
 	revision       int64
 	calls          map[string]int
@@ -52,7 +54,7 @@
 	members []rosemary.Member
 }
 
-// NewServer returns a platform without keys. Changes of the VM list become
+// NewServer returns a server without keys and VMs. Changes of the VM list become
 // visible after membersLag.
 func NewServer(membersLag time.Duration) *Server {
 	s := &Server{
@@ -77,13 +79,14 @@
 // Close closes the listener and all connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// SetDown makes calls hang until they are canceled or the server is up again.
+// SetDown makes calls hang, and watches silent, until the server is up again.
 func (s *Server) SetDown(down bool) { s.update(func() { s.down = down }) }
 
 // SetDropResponses makes transactions take effect without a response.
 func (s *Server) SetDropResponses(drop bool) { s.update(func() { s.dropResponses = drop }) }
 
-// SetStaleReads makes reads return the state as of this call.
+// SetStaleReads makes reads of keys return the values as of this call. Watches and
+// transactions still use the current ones.
 func (s *Server) SetStaleReads(stale bool) {
 	s.update(func() {
 		s.staleReads = stale
@@ -94,10 +97,11 @@
 	})
 }
 
-// SetDelay delays every call.
+// SetDelay delays every later call.
 func (s *Server) SetDelay(delay time.Duration) { s.update(func() { s.delay = delay }) }
 
-// SetMembers changes the list of VMs. Clients see it after the lag.
+// SetMembers changes the list of VMs. Clients see it after the delay given to
+// NewServer.
 func (s *Server) SetMembers(members []rosemary.Member) {
 	s.update(func() { s.pendingMembers = append(s.pendingMembers, membersUpdate{time.Now(), members}) })
 }
@@ -129,15 +133,15 @@
 	s.notifyWaiters()
 }
 
-// notifyWaiters wakes the calls and watches that wait for a change. The lock is
-// held.
+// notifyWaiters wakes the calls and watches that wait for a change. The lock must
+// be held.
 func (s *Server) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// startCall counts a call and applies the injected faults. It reports false if
-// the call must not be answered.
+// startCall counts a call and waits for the injected delay and while the server is
+// down. It reports false if the client cancels the call.
 func (s *Server) startCall(ctx context.Context, call string) bool {
 	s.mu.Lock()
 	s.calls[call]++
@@ -165,6 +169,7 @@
 	}
 }
 
+// gatewayKV is a key in etcd's JSON, which encodes 64-bit integers as strings.
 type gatewayKV struct {
 	Key         []byte `json:"key"`
 	Value       []byte `json:"value,omitempty"`
@@ -192,6 +197,8 @@
 	}{kvs})
 }
 
+// txnBody is the supported part of an etcd transaction: puts, on condition that
+// some keys have the given revisions. The revision of a missing key is 0.
 type txnBody struct {
 	Compare []struct {
 		Key         []byte `json:"key"`
@@ -270,21 +277,23 @@
 	}
 }
 
-type event struct {
+// watchEvent is a put. Its type is empty, as etcd omits the default.
+type watchEvent struct {
 	Type string    `json:"type,omitempty"`
 	KV   gatewayKV `json:"kv"`
 }
 
-type events struct {
-	Events []event `json:"events,omitempty"`
+type watchResult struct {
+	Events []watchEvent `json:"events,omitempty"`
 }
 
+// writeEvents writes a message of a watch, with an event if kv isn't nil.
 func writeEvents(w http.ResponseWriter, kv *gatewayKV) {
 	var message struct {
-		Result events `json:"result"`
+		Result watchResult `json:"result"`
 	}
 	if kv != nil {
-		message.Result.Events = []event{{KV: *kv}}
+		message.Result.Events = []watchEvent{{KV: *kv}}
 	}
 	_ = json.NewEncoder(w).Encode(message)
 }
