--- a/internal/rosenet/link.go
+++ b/internal/rosenet/link.go
@@ -12,8 +12,8 @@
 // maxQueuedChunks bounds the chunks in flight per direction of a stream.
 const maxQueuedChunks = 256
 
-// readBufferBytes is the maximum size of a chunk.
-const readBufferBytes = 16 << 10
+// maxChunkBytes bounds the size of a chunk.
+const maxChunkBytes = 16 << 10
 
 // stream connects two hosts. It delivers data after the one-way delay, and
 // stalls while the hosts are blocked from each other.
@@ -22,13 +22,13 @@
 	from, to Host
 	ctx      context.Context
 	cancel   context.CancelFunc
-	// stalled is closed once the stream is stalled for good.
-	stalled chan struct{}
-	once    sync.Once
+	// stalled is closed by StallStreams.
+	stalled   chan struct{}
+	stallOnce sync.Once
 }
 
 func (s *stream) stall() {
-	s.once.Do(func() { close(s.stalled) })
+	s.stallOnce.Do(func() { close(s.stalled) })
 }
 
 type chunk struct {
@@ -36,9 +36,10 @@
 	data      []byte
 }
 
-// newStream returns the dialing end of a stream whose other end is inner.
-func (n *Network) newStream(from, to Host, inner net.Conn) net.Conn {
-	near, far := net.Pipe()
+// newStream returns the dialing host's end of a stream. listenerConn connects the
+// network to the listener.
+func (n *Network) newStream(from, to Host, listenerConn net.Conn) net.Conn {
+	clientConn, networkConn := net.Pipe()
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &stream{network: n, from: from, to: to, ctx: ctx, cancel: cancel, stalled: make(chan struct{})}
 	n.mu.Lock()
@@ -46,13 +47,13 @@
 	n.mu.Unlock()
 	delay := n.config.Delay(from, to)
 	stop := context.AfterFunc(ctx, func() {
-		far.Close()
-		inner.Close()
+		networkConn.Close()
+		listenerConn.Close()
 	})
 	n.tasks.Go(func() {
 		var copies sync.WaitGroup
-		copies.Go(func() { s.copyDelayed(far, inner, delay) })
-		copies.Go(func() { s.copyDelayed(inner, far, delay) })
+		copies.Go(func() { s.copyDelayed(networkConn, listenerConn, delay) })
+		copies.Go(func() { s.copyDelayed(listenerConn, networkConn, delay) })
 		copies.Wait()
 		stop()
 		cancel()
@@ -60,11 +61,11 @@
 		delete(n.streams, s)
 		n.mu.Unlock()
 	})
-	return near
+	return clientConn
 }
 
-// copyDelayed copies data from source to sink until either is closed. It then
-// closes both and drains the queue.
+// copyDelayed copies data from source to sink until either is closed or the
+// stream is blocked for too long. It then closes both and waits for readChunks.
 func (s *stream) copyDelayed(source, sink net.Conn, delay time.Duration) {
 	queue := make(chan chunk, maxQueuedChunks)
 	stop := make(chan struct{})
@@ -82,7 +83,7 @@
 }
 
 func (s *stream) readChunks(source net.Conn, queue chan<- chunk, delay time.Duration, stop <-chan struct{}) {
-	buffer := make([]byte, readBufferBytes)
+	buffer := make([]byte, maxChunkBytes)
 	for {
 		size, err := source.Read(buffer)
 		if size > 0 {
@@ -108,12 +109,13 @@
 			return
 		}
 	}
-	// The end of a stream can't pass a block either.
+	// A blocked stream doesn't deliver the close of its source either.
 	s.waitUnblocked()
 }
 
-// waitUnblocked waits until data can pass. It reports false if the stream has
-// ended or was stalled for stallTimeout.
+// waitUnblocked waits while the stream is blocked or stalled. It reports false if
+// the stream ends or this takes longer than stallTimeout; each SetBlocked restarts
+// the timeout of a stream that isn't stalled.
 func (s *stream) waitUnblocked() bool {
 	for {
 		blocked, changed := s.network.pathState(s.from, s.to)
@@ -136,6 +138,7 @@
 	}
 }
 
-// stallTimeout is the time after which a stalled stream ends. It models the
-// retransmission timeout of TCP, shortened for tests.
+// stallTimeout is the time after which a blocked or stalled stream that has data
+// or a close to deliver is closed. It stands for the time after which TCP gives up
+// retransmission, shortened for tests.
 const stallTimeout = 60 * time.Second
--- a/internal/rosenet/memory.go
+++ b/internal/rosenet/memory.go
@@ -10,13 +10,13 @@
 	"github.com/gravitational/trace"
 )
 
-// memoryListener accepts streams of the same process.
+// memoryListener accepts connections from within the process.
 type memoryListener struct {
-	network  *Network
-	address  string
-	incoming chan net.Conn
-	done     chan struct{}
-	once     sync.Once
+	network   *Network
+	address   string
+	incoming  chan net.Conn
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 type memoryAddr string
@@ -42,10 +42,10 @@
 }
 
 func (l *memoryListener) dial(ctx context.Context) (net.Conn, error) {
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	select {
-	case l.incoming <- far:
-		return near, nil
+	case l.incoming <- serverConn:
+		return clientConn, nil
 	case <-l.done:
 		return nil, trace.ConnectionProblem(syscall.ECONNREFUSED, "connection refused")
 	case <-ctx.Done():
@@ -53,7 +53,7 @@
 	}
 }
 
-// Accept returns the next incoming stream.
+// Accept returns the next incoming connection.
 func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.incoming:
@@ -63,9 +63,9 @@
 	}
 }
 
-// Close stops accepting streams.
+// Close stops accepting connections.
 func (l *memoryListener) Close() error {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.done)
 		l.network.mu.Lock()
 		defer l.network.mu.Unlock()
--- a/internal/rosenet/network.go
+++ b/internal/rosenet/network.go
@@ -1,7 +1,7 @@
 // Package rosenet simulates a network for the demo, the load tool and the tests.
-// Its streams have a one-way delay and can be blocked, unblocked or stalled for
-// good. It runs over loopback TCP, or in memory so that it works with the fake
-// clock of testing/synctest.
+// Its streams have a one-way delay and can be blocked, unblocked or stalled. It
+// runs over loopback TCP, or in memory so that it works with the fake clock of
+// testing/synctest.
 package rosenet
 
 import (
@@ -40,7 +40,8 @@
 	mu sync.Mutex
 	// changed is closed and replaced whenever blocked changes.
 	changed chan struct{}
-	// hosts maps the address of a listener to its host.
+	// hosts maps the address of a listener to its host. It keeps the addresses
+	// of closed listeners.
 	hosts     map[string]Host
 	listeners map[string]*memoryListener
 	blocked   func(from, to Host) bool
@@ -65,7 +66,7 @@
 	}
 }
 
-// Listen opens a listener on a host. An empty address stands for a free one.
+// Listen opens a listener on a host. If address is empty, it picks a free one.
 func (n *Network) Listen(host Host, address string) (net.Listener, error) {
 	if n.config.InMemory {
 		return n.listenInMemory(host, address), nil
@@ -83,9 +84,10 @@
 	return listener, nil
 }
 
-// SetBlocked installs the predicate that reports which hosts can't reach each
-// other; nil unblocks all. Streams between them stall, as TCP does, until they
-// are unblocked.
+// SetBlocked sets the predicate that reports whether streams from a dialing to a
+// listening host are blocked, in both directions; nil unblocks all. As with TCP,
+// data on a blocked stream is delivered once it is unblocked, unless stallTimeout
+// has passed and closed the stream.
 func (n *Network) SetBlocked(blocked func(from, to Host) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,8 +96,8 @@
 	n.changed = make(chan struct{})
 }
 
-// StallStreams stalls all open streams to or from the host for good. Streams
-// opened later work.
+// StallStreams stops all delivery on open streams to or from the host, which
+// SetBlocked can't undo. Streams opened later work.
 func (n *Network) StallStreams(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -106,7 +108,8 @@
 	}
 }
 
-// Close closes all streams and waits for their goroutines.
+// Close cancels pending dials, closes all streams and waits for their
+// goroutines. Listeners stay open.
 func (n *Network) Close() {
 	n.cancel()
 	n.mu.Lock()
@@ -117,7 +120,7 @@
 	n.tasks.Wait()
 }
 
-// Blocked reports whether from and to can't reach each other.
+// Blocked returns the result of the predicate of SetBlocked, or false without one.
 func (n *Network) Blocked(from, to Host) bool {
 	blocked, _ := n.pathState(from, to)
 	return blocked
@@ -161,8 +164,9 @@
 	from    Host
 }
 
-// Dial opens a stream to the address of a listener of the network. It fails with
-// trace.ConnectionProblem if nothing listens there.
+// Dial opens a stream to the address of a listener of the network. It waits while
+// the hosts are blocked, and fails with trace.ConnectionProblem if nothing listens
+// there or ctx ends.
 func (d *Dialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n := d.network
 	ctx, cancel := context.WithCancel(ctx)
@@ -177,18 +181,19 @@
 	if err := n.waitReachable(ctx, d.from, to); err != nil {
 		return nil, err
 	}
+	// The TCP handshake takes one round trip.
 	if !roseclock.Sleep(ctx, 2*n.config.Delay(d.from, to)) {
 		return nil, trace.ConnectionProblem(ctx.Err(), "dial %s", address)
 	}
-	inner, err := n.dialInner(ctx, address)
+	listenerConn, err := n.dialListener(ctx, address)
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "dial %s", address)
 	}
-	return n.newStream(d.from, to, inner), nil
+	return n.newStream(d.from, to, listenerConn), nil
 }
 
-// dialInner opens the connection, without delay, that carries a stream.
-func (n *Network) dialInner(ctx context.Context, address string) (net.Conn, error) {
+// dialListener connects to a listener without the simulated delay.
+func (n *Network) dialListener(ctx context.Context, address string) (net.Conn, error) {
 	if !n.config.InMemory {
 		var dialer net.Dialer
 		return dialer.DialContext(ctx, "tcp", address)
