--- a/internal/rosesoak/fault.go
+++ b/internal/rosesoak/fault.go
@@ -12,17 +12,19 @@
 	// two faults. Faults may overlap.
 	minFaultInterval = 300 * time.Millisecond
 	maxFaultInterval = 2 * time.Second
-	// minFaultDuration and maxFaultDuration bound how long a fault lasts.
+	// minFaultDuration and maxFaultDuration bound the duration of a fault, which is
+	// ended when the next fault after this time starts.
 	minFaultDuration = 200 * time.Millisecond
 	maxFaultDuration = 4 * time.Second
 	// restartInterval is the time between checks for exited processes.
 	restartInterval = 300 * time.Millisecond
 )
 
-// fault is a kind of fault that the soak injects. Its inject function starts one,
-// and returns a function that ends it and the affected proxy or target.
+// fault is a kind of fault that the soak injects.
 type fault struct {
-	name   string
+	name string
+	// inject starts the fault. It returns a function to end it, and the name of the
+	// affected proxy or target, if any.
 	inject func(s *soak) (end func(), subject string)
 }
 
@@ -77,12 +79,14 @@
 	return s.targets[0]
 }
 
-func (s *soak) signalRandomProxy(first, last syscall.Signal) (func(), string) {
+// signalRandomProxy sends startSignal to a proxy. The returned function sends
+// endSignal, unless it is 0.
+func (s *soak) signalRandomProxy(startSignal, endSignal syscall.Signal) (func(), string) {
 	p := pickRandom(s, s.processes)
-	p.signal(first)
+	p.signal(startSignal)
 	return func() {
-		if last != 0 {
-			p.signal(last)
+		if endSignal != 0 {
+			p.signal(endSignal)
 		}
 	}, p.name
 }
--- a/internal/rosesoak/process.go
+++ b/internal/rosesoak/process.go
@@ -14,18 +14,19 @@
 	"github.com/gravitational/trace"
 )
 
-// graceTime is the time between SIGTERM and SIGKILL.
+// graceTime is the GraceTime setting of the proxies, and the time between SIGTERM
+// and SIGKILL.
 const graceTime = 6 * time.Second
 
-// process is one rosemaryd, which is restarted under the same name.
+// process is a rosemaryd process, which is restarted under the same name.
 type process struct {
-	name          string
-	zone          string
-	program       string
-	settingsPath  string
-	logPath       string
-	callerAddress string
-	storeRelay    *tcpRelay
+	name         string
+	zone         string
+	program      string
+	settingsPath string
+	logPath      string
+	address      string
+	storeRelay   *tcpRelay
 
 	mu      sync.Mutex
 	command *exec.Cmd
@@ -82,7 +83,7 @@
 `
 
 // newProcess writes the settings of a process without starting it.
-func newProcess(directory, program, name, zone, store, promoter string) (*process, error) {
+func newProcess(directory, program, name, zone, storeAddress, promoterAddress string) (*process, error) {
 	var addresses []any
 	for range 4 {
 		address, err := freeAddress()
@@ -91,16 +92,16 @@
 		}
 		addresses = append(addresses, address)
 	}
-	relay, err := newTCPRelay(store)
+	relay, err := newTCPRelay(storeAddress)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
 	p := &process{
-		name: name, zone: zone, program: program, storeRelay: relay, callerAddress: addresses[0].(string),
+		name: name, zone: zone, program: program, storeRelay: relay, address: addresses[0].(string),
 		settingsPath: filepath.Join(directory, name+".toml"), logPath: filepath.Join(directory, name+".log"),
 	}
 	values := append([]any{name, zone}, addresses...)
-	text := fmt.Sprintf(settingsTemplate, append(values, relay.address(), promoter, graceTime.String())...)
+	text := fmt.Sprintf(settingsTemplate, append(values, relay.address(), promoterAddress, graceTime.String())...)
 	return p, trace.ConvertSystemError(os.WriteFile(p.settingsPath, []byte(text), 0o600))
 }
 
@@ -142,8 +143,8 @@
 	_ = p.command.Process.Signal(s)
 }
 
-// running reports whether the process runs, and whether it exited without a
-// signal from the soak.
+// running reports whether the process runs and, if not, whether it exited
+// although the soak hadn't sent SIGTERM or SIGKILL.
 func (p *process) running() (running, unexpected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,7 +164,8 @@
 	return !p.disrupted
 }
 
-// stop ends the process with SIGTERM, and with SIGKILL after graceTime.
+// stop ends the process with SIGTERM, and with SIGKILL after graceTime. A paused
+// process has to be resumed first to handle SIGTERM.
 func (p *process) stop() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGTERM)
--- a/internal/rosesoak/soak.go
+++ b/internal/rosesoak/soak.go
@@ -20,8 +20,8 @@
 	"github.com/rosemarywell/rosemarywell/platform/rosestandin"
 )
 
-// loopback makes the system choose a free port.
-const loopback = "127.0.0.1:0"
+// loopbackAnyPort makes the system choose a free port.
+const loopbackAnyPort = "127.0.0.1:0"
 
 const (
 	// replicaApplyDelay is how long replicas take to apply a record.
@@ -34,7 +34,8 @@
 	maxConnections = 22
 	// startupTime is how long the proxies have to find each other and the targets
 	// before load and faults begin.
-	startupTime               = 6 * time.Second
+	startupTime = 6 * time.Second
+	// defaultIdleCloseTolerance is the default of Config.IdleCloseTolerance.
 	defaultIdleCloseTolerance = 200 * time.Millisecond
 	// settleTime lets outstanding answers arrive after the last fault.
 	settleTime = 3 * time.Second
@@ -52,18 +53,18 @@
 	Duration  time.Duration
 	// ProxiesPerZone is the number of proxies in each of three zones.
 	ProxiesPerZone int
-	// Callers is the number of concurrent clients.
+	// Clients is the number of concurrent clients.
 	Clients int
-	// IdleCloseTolerance is how soon after sending a request a client may find its
-	// connection closed without a violation: the proxy closed it between two
-	// requests and never read the later one. Zero means
-	// defaultIdleCloseTolerance.
+	// IdleCloseTolerance excuses a connection that closes within this time after a
+	// request was sent: the proxy may have closed the idle connection without
+	// reading the request. Zero means defaultIdleCloseTolerance.
 	IdleCloseTolerance time.Duration
 	// Out receives a line for each fault and violation; nil discards them.
 	Out io.Writer
 }
 
-// Report is the result of a run. Outcomes counts writes by outcome.
+// Report is the result of a run. Outcomes counts writes by outcome: acked, broken
+// if the connection was lost, or the error code.
 type Report struct {
 	Outcomes   map[string]int
 	Faults     int
@@ -80,8 +81,9 @@
 	promoter  *rosestandin.Promoter
 	targets   []*target
 	processes []*process
-	closers   []func()
-	tasks     sync.WaitGroup
+	// closers are called in reverse order at the end of the run.
+	closers []func()
+	tasks   sync.WaitGroup
 
 	mu     sync.Mutex
 	report Report
@@ -121,7 +123,7 @@
 	var tasks sync.WaitGroup
 	writers := make([]*writer, config.Clients)
 	for n := range writers {
-		writers[n] = &writer{soak: s, item: fmt.Sprint("i", n), random: rand.New(rand.NewPCG(config.Seed, uint64(n)+1))}
+		writers[n] = &writer{soak: s, key: fmt.Sprint("i", n), random: rand.New(rand.NewPCG(config.Seed, uint64(n)+1))}
 		tasks.Go(func() { writers[n].run(writersCtx) })
 	}
 	s.injectFaults(faultsCtx)
@@ -150,17 +152,17 @@
 			return err
 		}
 	}
-	store, err := s.serveHTTP(s.store.Handler())
+	storeAddress, err := s.serveHTTP(s.store.Handler())
 	if err != nil {
 		return err
 	}
-	promoter, err := s.serveHTTP(s.promoter.Handler())
+	promoterAddress, err := s.serveHTTP(s.promoter.Handler())
 	if err != nil {
 		return err
 	}
 	rosestandin.PutConfiguration(s.store, 1, maxConnections)
 	for n := range s.config.ProxiesPerZone * len(zones) {
-		p, err := newProcess(s.config.Directory, s.config.Program, fmt.Sprint("proxy-", n+1), zones[n%len(zones)], store, promoter)
+		p, err := newProcess(s.config.Directory, s.config.Program, fmt.Sprint("proxy-", n+1), zones[n%len(zones)], storeAddress, promoterAddress)
 		if err != nil {
 			return err
 		}
@@ -210,8 +212,9 @@
 	return nil
 }
 
+// serveHTTP serves handler on a free port and returns the address.
 func (s *soak) serveHTTP(handler http.Handler) (string, error) {
-	listener, err := net.Listen("tcp", loopback)
+	listener, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return "", trace.ConvertSystemError(err)
 	}
@@ -243,7 +246,7 @@
 	defer s.mu.Unlock()
 	text := fmt.Sprintf("%.2f s: ", time.Since(s.started).Seconds()) + fmt.Sprintf(format, values...)
 	s.report.Violations = append(s.report.Violations, text)
-	fmt.Fprintln(s.config.Out, "VIOLATION", text)
+	fmt.Fprintln(s.config.Out, "BROKEN", text)
 }
 
 func (s *soak) countOutcome(outcome string) {
@@ -252,6 +255,7 @@
 	s.report.Outcomes[outcome]++
 }
 
+// sleep waits for d, and reports whether it passed before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/rosesoak/soak_test.go
+++ b/internal/rosesoak/soak_test.go
@@ -22,7 +22,8 @@
 	return program
 }
 
-// idleCloseTolerance is longer than a busy machine stalls a client.
+// idleCloseTolerance exceeds the delay that a busy machine may add before a client
+// notices that its connection is closed.
 const idleCloseTolerance = time.Second
 
 func runSoak(t *testing.T, program string, seed uint64, duration time.Duration) rosesoak.Report {
--- a/internal/rosesoak/wire.go
+++ b/internal/rosesoak/wire.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// chunkDelay exceeds the 400 ms that a proxy waits for the first target of a
-	// read before it tries another.
+	// chunkDelay exceeds the 400 ms (rosecaller.firstReadTimeout) that a proxy
+	// waits for the first target of a read before it tries another.
 	chunkDelay = 450 * time.Millisecond
 	// chunkBytes is the size of the read buffer.
 	chunkBytes = 8 << 10
@@ -35,14 +35,15 @@
 	upstreamAddress string
 	tasks           sync.WaitGroup
 
-	mu      sync.Mutex
-	mode    relayMode
+	mu   sync.Mutex
+	mode relayMode
+	// changed is closed and replaced when mode changes.
 	changed chan struct{}
 	conns   map[net.Conn]struct{}
 }
 
 func newTCPRelay(upstreamAddress string) (*tcpRelay, error) {
-	listener, err := net.Listen("tcp", loopback)
+	listener, err := net.Listen("tcp", loopbackAnyPort)
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +62,7 @@
 		}
 		upstream, err := net.Dial("tcp", r.upstreamAddress)
 		if err != nil {
-			// Nothing listens upstream, so the client must see a failure too.
+			// The client must see that upstream is unreachable.
 			downstream.Close()
 			continue
 		}
@@ -92,7 +93,7 @@
 	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buffer)
-		r.waitForMode(fromUpstream)
+		r.applyMode(fromUpstream)
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
@@ -104,8 +105,8 @@
 	}
 }
 
-// waitForMode blocks while the relay's mode holds back the given direction.
-func (r *tcpRelay) waitForMode(fromUpstream bool) {
+// applyMode blocks for chunkDelay, or while the mode holds back the direction.
+func (r *tcpRelay) applyMode(fromUpstream bool) {
 	for {
 		r.mu.Lock()
 		m, changed := r.mode, r.changed
--- a/internal/rosesoak/writer.go
+++ b/internal/rosesoak/writer.go
@@ -18,18 +18,21 @@
 	transactionShare = 0.3
 )
 
-// writer is one client. It writes increasing numbers to its own item and reads
+// writer is one client. It writes increasing numbers to its own key and reads
 // them back in the same session, which it keeps until the connection is lost.
 type writer struct {
 	soak   *soak
-	item   string
+	key    string
 	random *rand.Rand
 
-	client    *rosestandin.Client
-	proxy     *process
+	client *rosestandin.Client
+	proxy  *process
+	// sequence is the number last written, lastAcked the number last acknowledged
+	// in this session.
 	sequence  int
 	lastAcked int
-	outcomes  map[string]string
+	// outcomes holds the outcome of each write by its ID.
+	outcomes map[string]string
 }
 
 func (w *writer) run(ctx context.Context) {
@@ -52,7 +55,7 @@
 
 func (w *writer) connect(ctx context.Context) bool {
 	w.proxy = w.soak.processes[w.random.IntN(len(w.soak.processes))]
-	client, err := rosestandin.Dial(ctx, w.proxy.callerAddress, rosestandin.ReadYourWritesRoute)
+	client, err := rosestandin.Dial(ctx, w.proxy.address, rosestandin.ReadYourWritesRoute)
 	if err != nil {
 		return false
 	}
@@ -62,7 +65,7 @@
 
 // query runs one statement. A connection that ends without an answer is a
 // violation, even during a graceful shutdown, unless the proxy was killed or
-// paused, or closed the connection before it read the request.
+// paused, or the connection ended within IdleCloseTolerance.
 func (w *writer) query(id, text string) (rosestandin.Reply, bool) {
 	sentAt := time.Now()
 	reply, err := w.client.Query(id, text)
@@ -79,8 +82,8 @@
 
 func (w *writer) write() {
 	w.sequence++
-	id := fmt.Sprintf("%s-%d", w.item, w.sequence)
-	text := fmt.Sprintf("WRITE %s %d", w.item, w.sequence)
+	id := fmt.Sprintf("%s-%d", w.key, w.sequence)
+	text := fmt.Sprintf("WRITE %s %d", w.key, w.sequence)
 	if w.random.Float64() >= transactionShare {
 		reply, ok := w.query(id, text)
 		w.record(id, writeOutcome(reply, ok))
@@ -91,6 +94,7 @@
 	}
 	reply, ok := w.query(id, text)
 	if !ok || reply.Code != "" {
+		// Without a COMMIT the write has no effect, even if the connection was lost.
 		w.record(id, "ABORTED")
 		if ok {
 			w.query(id+"r", "ROLLBACK")
@@ -123,14 +127,14 @@
 // failover has rolled it back.
 func (w *writer) checkOwnRead() {
 	acked := w.lastAcked
-	reply, ok := w.query(fmt.Sprintf("%s-%dq", w.item, w.sequence), "READ "+w.item)
+	reply, ok := w.query(fmt.Sprintf("%s-%dq", w.key, w.sequence), "READ "+w.key)
 	if !ok || reply.Digest == "" || acked == 0 {
 		return
 	}
 	seen := 0
 	_, _ = fmt.Sscan(reply.Rows[0], &seen)
-	if seen < acked && w.soak.group.PrimaryHasWrite(fmt.Sprintf("%s-%d", w.item, acked)) {
-		w.soak.addViolation("item %s was read as %d after the write of %d was acknowledged", w.item, seen, acked)
+	if seen < acked && w.soak.group.PrimaryHasWrite(fmt.Sprintf("%s-%d", w.key, acked)) {
+		w.soak.addViolation("key %s was read as %d after the write of %d was acknowledged", w.key, seen, acked)
 	}
 }
 
