--- a/internal/roseexplain/line.go
+++ b/internal/roseexplain/line.go
@@ -33,8 +33,8 @@
 // maxLineBytes bounds one line; Read fails on a longer one.
 const maxLineBytes = 1 << 20
 
-// Read reads a log and skips lines that Parse rejects. The process is named
-// after the proxy in its start event, or else by name.
+// Read reads a log and skips lines that Parse rejects. Process is the proxy in
+// the start event, or name if there is none.
 func Read(name string, input io.Reader) (Log, error) {
 	log := Log{Process: name}
 	scanner := bufio.NewScanner(input)
@@ -55,11 +55,12 @@
 // startEvent is logged once per start of a process.
 const startEvent = "proxy started"
 
-// headerTimeLayout is the layout of klog's time stamps.
+// headerTimeLayout is the layout of klog's timestamps.
 const headerTimeLayout = "0102 15:04:05.000000"
 
 // Parse reads one line in klog's structured format: severity, time, thread,
-// source location, quoted event and fields. Text before the severity is ignored.
+// source location, quoted event and fields. Text before the severity, such as a
+// prefix with the process, is ignored.
 func Parse(text string) (Line, bool) {
 	headerEnd := strings.Index(text, "] \"")
 	if headerEnd < 0 {
--- a/internal/roseexplain/story.go
+++ b/internal/roseexplain/story.go
@@ -28,8 +28,8 @@
 type Timeline struct {
 	Request string
 	Entries []Entry
-	// ClockOffsets holds what was added to the times of each process; those
-	// without an offset are missing.
+	// ClockOffsets holds the duration added to the times of each process. A process
+	// whose times are unchanged has no entry.
 	ClockOffsets map[string]time.Duration
 }
 
@@ -38,8 +38,8 @@
 const defaultDuration = 2 * time.Second
 
 // BuildTimeline merges the log lines of a request with those on state changes of
-// its group, targets and proxies in the time before it. The error is
-// trace.NotFound if no log names the request.
+// its group, targets and proxies, from lookBack before the request until its
+// result. The error is trace.NotFound if no log names the request.
 func BuildTimeline(logs []Log, request string, lookBack time.Duration) (Timeline, error) {
 	result, responder, found := findResult(logs, request)
 	if !found {
@@ -87,7 +87,8 @@
 func (l Line) isResult() bool { return l.Event == "request served" || l.Event == "request refused" }
 
 // findResult returns the line with the request's result and the process that
-// wrote it. Without such a line, it returns the last one that names the request.
+// wrote it. Without such a line, it returns the last line of the last log that
+// names the request.
 func findResult(logs []Log, request string) (Line, string, bool) {
 	var last Line
 	process := ""
@@ -112,8 +113,9 @@
 	return defaultDuration
 }
 
-// clockOffset returns the offset that moves the first of a process's lines on
-// the request that lies outside the request's duration to the nearer end of it.
+// clockOffset returns the duration to add to a process's times. Its lines on the
+// request must lie between start and end; the first line that doesn't is moved to
+// the nearer of the two.
 func clockOffset(log Log, request string, start, end time.Time) time.Duration {
 	for _, line := range log.Lines {
 		if line.Fields["request"] != request {
