--- a/cmd/rosemary/main.go
+++ b/cmd/rosemary/main.go
@@ -1,5 +1,6 @@
-// Command rosemary is the operators' tool. It manages bundles and proxies, and
-// runs the demo, the load tests and the soak test.
+// Command rosemary is the operators' tool. It manages bundles and proxies,
+// generates keys and password verifiers, explains requests from logs, and runs
+// the demo, the load tests and the soak test.
 package main
 
 import (
--- a/cmd/rosemaryd/main.go
+++ b/cmd/rosemaryd/main.go
@@ -1,4 +1,5 @@
-// Command rosemaryd is the proxy daemon. One runs on each entry VM.
+// Command rosemaryd is the proxy daemon. One runs on each VM that clients connect
+// to.
 package main
 
 import (
--- a/internal/rosecommand/admin.go
+++ b/internal/rosecommand/admin.go
@@ -21,8 +21,8 @@
 	// moveTimeout bounds the request that moves a primary, which returns once the
 	// promotion is done.
 	moveTimeout = 15 * time.Second
-	// maxStateBytes bounds the response body of a proxy.
-	maxStateBytes = 16 << 20
+	// maxResponseBytes bounds the body of a proxy's response.
+	maxResponseBytes = 16 << 20
 )
 
 // adminFlag adds the -admin flag.
@@ -75,9 +75,9 @@
 		return nil, trace.ConnectionProblem(err, "no response from the proxy at %s", address)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxStateBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "the response of the proxy at %s was truncated", address)
+		return nil, trace.ConnectionProblem(err, "incomplete response from the proxy at %s", address)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, trace.BadParameter("proxy at %s: %s", address, strings.TrimSpace(string(body)))
--- a/internal/rosecommand/bundle.go
+++ b/internal/rosecommand/bundle.go
@@ -41,8 +41,8 @@
 	return usageError{trace.BadParameter("usage: rosemary bundle key|new|check|sign|propose|show|diff|status")}
 }
 
-// storeFlags adds the flags for the platform's store. The returned function opens
-// the store once the flags are parsed.
+// storeFlags adds the flags for the platform's store. The returned function
+// creates a client of the store; the flags must have been parsed.
 func storeFlags(flags *flag.FlagSet) func() (rosemary.Store, error) {
 	address := flags.String("store", "", "address (host:port) of the platform's key-value service")
 	prefix := flags.String("prefix", "", "prefix of the store's keys, as in the proxies' settings")
@@ -65,6 +65,7 @@
 		if err != nil {
 			return nil, trace.ConvertSystemError(err)
 		}
+		// Decoded alone, so that the error names the file.
 		if _, err := toml.Decode(string(text), &rosebundle.Content{}); err != nil {
 			return nil, usageError{trace.BadParameter("cannot parse %s as a bundle: %v; correct the TOML", path, err)}
 		}
@@ -87,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(streams.Out, "valid: %d databases, %d classes, %d tenants, %d operators\n",
+	fmt.Fprintf(streams.Out, "in order: %d databases, %d classes, %d tenants, %d operators\n",
 		len(content.Databases), len(content.Classes), len(content.Tenants), len(content.Operators))
 	return nil
 }
@@ -112,7 +113,7 @@
 func readProposal(flags *flag.FlagSet) (rosebundle.Proposal, string, error) {
 	path := flags.Arg(0)
 	if path == "" {
-		return rosebundle.Proposal{}, "", usageError{trace.BadParameter("no proposal file given")}
+		return rosebundle.Proposal{}, "", usageError{trace.BadParameter("no proposal file given; give the file written by rosemary bundle new")}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/rosecommand/bundle_diff.go
+++ b/internal/rosecommand/bundle_diff.go
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// diffLines lists the content lines that only one of two bundles has.
+// diffLines returns the contentLines that only current has, marked with -, and
+// those that only proposed has, marked with +.
 func diffLines(current, proposed *rosebundle.Content) []string {
 	currentLines, proposedLines := contentLines(current), contentLines(proposed)
 	var lines []string
@@ -50,8 +51,8 @@
 	return lines
 }
 
-// contentLines returns one line for each entry of a bundle, prefixed with its
-// kind and name.
+// contentLines describes a bundle, with one line for each database, target,
+// class, tenant and operator.
 func contentLines(content *rosebundle.Content) []string {
 	var lines []string
 	for _, d := range content.Databases {
--- a/internal/rosecommand/bundle_sign.go
+++ b/internal/rosecommand/bundle_sign.go
@@ -29,7 +29,7 @@
 	}
 	key, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(key) != ed25519.PrivateKeySize || *operator == "" {
-		return usageError{trace.BadParameter("-operator is missing, or -key is not a private key written by rosemary bundle key")}
+		return usageError{trace.BadParameter("-operator is missing, or the -key file holds no private key written by rosemary bundle key")}
 	}
 	p.Manifest = p.Manifest.WithSignature(*operator, key)
 	if err := writeProposal(path, p); err != nil {
--- a/internal/rosecommand/bundle_status.go
+++ b/internal/rosecommand/bundle_status.go
@@ -19,14 +19,14 @@
 	}
 	replies := fetchStates(ctx, *admin)
 	newestVersion := uint64(0)
-	for _, a := range replies {
-		if a.State != nil {
-			newestVersion = max(newestVersion, a.State.Bundle.Version)
+	for _, r := range replies {
+		if r.State != nil {
+			newestVersion = max(newestVersion, r.State.Bundle.Version)
 		}
 	}
 	rows := make([]bundleRow, 0, len(replies))
-	for _, a := range replies {
-		rows = append(rows, newBundleRow(a, newestVersion))
+	for _, r := range replies {
+		rows = append(rows, newBundleRow(r, newestVersion))
 	}
 	if *asJSON {
 		return printJSON(streams, rows)
@@ -45,15 +45,17 @@
 	Zone    string
 	Version uint64
 	Since   time.Time
-	// Behind is the number of versions that the proxy is behind the newest one.
+	// Behind is the number of versions that the proxy is behind the newest one of
+	// all proxies that replied.
 	Behind uint64
-	Note   string `json:",omitempty"`
+	// Note is why the proxy's state is missing, or why it refused a bundle.
+	Note string `json:",omitempty"`
 }
 
-func newBundleRow(a stateReply, newestVersion uint64) bundleRow {
-	if a.State == nil {
-		return bundleRow{Proxy: a.Address, Behind: newestVersion, Note: a.Error}
+func newBundleRow(r stateReply, newestVersion uint64) bundleRow {
+	if r.State == nil {
+		return bundleRow{Proxy: r.Address, Behind: newestVersion, Note: r.Error}
 	}
-	b := a.State.Bundle
-	return bundleRow{string(a.State.Name), string(a.State.Zone), b.Version, b.Since, newestVersion - b.Version, b.LastError}
+	b := r.State.Bundle
+	return bundleRow{string(r.State.Name), string(r.State.Zone), b.Version, b.Since, newestVersion - b.Version, b.LastError}
 }
--- a/internal/rosecommand/command.go
+++ b/internal/rosecommand/command.go
@@ -26,7 +26,7 @@
 type command struct {
 	name    string
 	summary string
-	// run parses its flags from args and does the work.
+	// run parses args and executes the subcommand.
 	run func(ctx context.Context, streams IOStreams, args []string) error
 }
 
--- a/internal/rosecommand/daemon.go
+++ b/internal/rosecommand/daemon.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// dialTimeout bounds the opening of any connection.
+	// dialTimeout bounds the dialing of every outgoing connection.
 	dialTimeout = 2 * time.Second
 	// balancerDelay is how long a proxy that is no longer ready still accepts
 	// clients, since the load balancer takes a while to notice.
@@ -32,7 +32,7 @@
 // tcpDialer opens TCP connections.
 type tcpDialer struct{}
 
-// Dial opens a stream to address.
+// Dial opens a connection to address.
 func (tcpDialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}
 	return dialer.DialContext(ctx, "tcp", address)
@@ -47,7 +47,7 @@
 	flags := flag.NewFlagSet("rosemaryd", flag.ContinueOnError)
 	path := flags.String("settings", "/etc/rosemarywell/rosemaryd.toml", "settings file")
 	check := flags.Bool("check", false, "check the settings file and exit")
-	onPlatform := flags.Bool("platform", false, "run on the platform, with targets and configuration from its store")
+	onPlatform := flags.Bool("platform", false, "use the protocol of the hosting platform, and its store for targets and configuration")
 	verbosity := flags.Int("v", 0, "log verbosity")
 	if err := parseFlags(flags, streams, args); err != nil {
 		return err
@@ -57,13 +57,13 @@
 		return usageError{trace.BadParameter("invalid log verbosity %d", *verbosity)}
 	}
 	if *onPlatform && !*check {
-		return runVM(ctx, *path)
+		return runPlatform(ctx, *path)
 	}
 	if err := checkSettings(*path, *onPlatform); err != nil {
 		return usageError{err}
 	}
 	if *check {
-		fmt.Fprintln(streams.Out, "settings are valid")
+		fmt.Fprintln(streams.Out, "settings are in order")
 		return nil
 	}
 	settings, err := rosesettings.Load(*path)
@@ -78,7 +78,7 @@
 	return serveDaemon(ctx, daemon, settings)
 }
 
-// checkSettings returns an error that lists what is wrong in a settings file.
+// checkSettings returns an error that lists all faults of a settings file.
 func checkSettings(path string, onPlatform bool) error {
 	if onPlatform {
 		_, err := rosesettings.LoadPlatform(path)
--- a/internal/rosecommand/demo.go
+++ b/internal/rosecommand/demo.go
@@ -26,7 +26,7 @@
 	name := flags.String("deployment", "costa-rica", "deployment to run: costa-rica or guatemala")
 	duration := flags.Duration("for", 0, "time after which the demo stops; 0 runs until interrupted")
 	directory := flags.String("settings-dir", "", "run only the simulated targets and store, and write settings for rosemaryd to this directory")
-	verbose := flags.Bool("v", false, "show the log of the proxies and the simulated servers")
+	verbose := flags.Bool("v", false, "show the logs of the proxies and of the simulated targets and store")
 	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
--- a/internal/rosecommand/explain.go
+++ b/internal/rosecommand/explain.go
@@ -16,13 +16,13 @@
 	register(command{"explain", "print the timeline of one request from the logs of several proxies", runExplain})
 }
 
-// defaultLookBack is how long before a request state changes are shown; a failover
-// takes about as long.
+// defaultLookBack is the default of -before. It covers a failover, which takes
+// about as long.
 const defaultLookBack = 3 * time.Second
 
 func runExplain(_ context.Context, streams IOStreams, args []string) error {
 	flags := flag.NewFlagSet("explain", flag.ContinueOnError)
-	lookBack := flags.Duration("before", defaultLookBack, "show state changes of the proxies within this time before the request")
+	lookBack := flags.Duration("before", defaultLookBack, "time before the request in which state changes of the proxies are shown")
 	if err := parseFlags(flags, streams, args); err != nil {
 		return err
 	}
--- a/internal/rosecommand/load.go
+++ b/internal/rosecommand/load.go
@@ -25,7 +25,7 @@
 	rate := flags.Float64("rate", 0, "requests per second; 0 means the default")
 	faults := flags.String("fault", "none", "faults, separated by +: "+strings.Join(roseload.FaultNames(), ", "))
 	baseline := flags.String("baseline", "", "alternative policy to run for comparison: primary-reads, fifo, even-split or acknowledge-on-primary")
-	runs := flags.Int("runs", 1, "number of runs, with consecutive seeds; more than one print a summary")
+	runs := flags.Int("runs", 1, "number of runs, with consecutive seeds; if above 1, a summary replaces the report")
 	format := flags.String("report", "json", "format of the report: json")
 	if err := parseFlags(flags, streams, args); err != nil {
 		return err
@@ -65,7 +65,7 @@
 
 func violationsError(violations int) error {
 	if violations > 0 {
-		return trace.CompareFailed("the recorded history contains %d violations", violations)
+		return trace.CompareFailed("the recorded history violates the guarantees %d times", violations)
 	}
 	return nil
 }
--- a/internal/rosecommand/soak.go
+++ b/internal/rosecommand/soak.go
@@ -23,7 +23,7 @@
 	runs := flags.Int("runs", 1, "number of runs, with consecutive seeds")
 	duration := flags.Duration("for", 20*time.Second, "time during which faults are injected, per run")
 	proxies := flags.Int("proxies", 2, "number of proxies in each of three zones")
-	callers := flags.Int("callers", 12, "number of concurrent clients")
+	clients := flags.Int("callers", 12, "number of concurrent clients")
 	program := flags.String("program", "", "path of rosemaryd; by default in the directory of this program")
 	verbose := flags.Bool("v", false, "print each fault and violation as it occurs")
 	if err := parseFlags(flags, streams, args); err != nil {
@@ -38,7 +38,7 @@
 	}
 	violations := 0
 	for n := range *runs {
-		config := rosesoak.Config{Program: *program, Seed: *seed + uint64(n), Duration: *duration, ProxiesPerZone: *proxies, Clients: *callers}
+		config := rosesoak.Config{Program: *program, Seed: *seed + uint64(n), Duration: *duration, ProxiesPerZone: *proxies, Clients: *clients}
 		if *verbose {
 			config.Out = streams.Out
 		}
@@ -49,13 +49,13 @@
 		violations += found
 	}
 	if violations > 0 {
-		return trace.CompareFailed("%d violations found", violations)
+		return trace.CompareFailed("the guarantees were violated %d times", violations)
 	}
 	return nil
 }
 
-// runSoakSeed runs one seed and returns the number of violations. Settings and
-// logs are kept if there are any.
+// runSoakSeed runs one seed and returns the number of violations. It deletes the
+// settings and logs of a run without violations.
 func runSoakSeed(ctx context.Context, streams IOStreams, config rosesoak.Config) (int, error) {
 	directory, err := rosesoak.NewDirectory(config.Seed)
 	if err != nil {
--- a/internal/rosecommand/status.go
+++ b/internal/rosecommand/status.go
@@ -29,14 +29,14 @@
 	}
 	table := tabwriter.NewWriter(streams.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "PROXY\tZONE\tREADY\tCALLERS\tBUNDLE\tDATABASE\tTERM\tPRIMARY\tCONFIRMED\tTARGETS")
-	for _, a := range replies {
-		if a.State == nil {
-			fmt.Fprintf(table, "%s\t-\tfalse\t-\t-\t%s\n", a.Address, a.Error)
+	for _, r := range replies {
+		if r.State == nil {
+			fmt.Fprintf(table, "%s\t-\tfalse\t-\t-\t%s\n", r.Address, r.Error)
 			continue
 		}
-		for _, g := range a.State.Groups {
-			fmt.Fprintf(table, "%s\t%s\t%t\t%d\t%d\t%s\t%d\t%s\t%s\t%s\n", a.State.Name, a.State.Zone, a.State.Ready,
-				a.State.Callers, a.State.Bundle.Version, g.Database, g.Term, g.Primary, g.Confirmed, formatTargets(g))
+		for _, g := range r.State.Groups {
+			fmt.Fprintf(table, "%s\t%s\t%t\t%d\t%d\t%s\t%d\t%s\t%s\t%s\n", r.State.Name, r.State.Zone, r.State.Ready,
+				r.State.Callers, r.State.Bundle.Version, g.Database, g.Term, g.Primary, g.Confirmed, formatTargets(g))
 		}
 	}
 	return trace.Wrap(table.Flush())
--- a/internal/rosecommand/verifier.go
+++ b/internal/rosecommand/verifier.go
@@ -13,7 +13,7 @@
 )
 
 func init() {
-	register(command{"verifier", "read a tenant's password from standard input and print its verifier", runVerifier})
+	register(command{"verifier", "read a tenant's password from standard input and print its SCRAM verifier", runVerifier})
 }
 
 func runVerifier(_ context.Context, streams IOStreams, _ []string) error {
--- a/internal/rosecommand/vm.go
+++ b/internal/rosecommand/vm.go
@@ -26,19 +26,19 @@
 )
 
 const (
-	// vmBalancerDelay is how long the load balancer may still send clients to a
-	// proxy that is no longer ready: it needs two health checks, one second apart.
-	vmBalancerDelay = 2200 * time.Millisecond
-	// shutdownMargin is reserved at the end of the grace time for answers still
-	// being sent.
+	// platformBalancerDelay is how long the load balancer may still send clients to
+	// a proxy that is no longer ready: it needs two health checks, one second apart.
+	platformBalancerDelay = 2200 * time.Millisecond
+	// shutdownMargin is the part of the grace time that is left after the last
+	// connections are closed, for the node to stop and the log to be flushed.
 	shutdownMargin = 300 * time.Millisecond
-	// gcPercent is how far the heap may grow over the live memory before the next
-	// collection. It is high since live memory is small compared to the VM's.
+	// gcPercent is how far the heap may grow before the next collection, in percent
+	// of the live memory. It is high since live memory is a small part of the VM's.
 	gcPercent = 400
 	// memoryLimitShare is the share of the VM's memory set as the soft memory
 	// limit, near which collections become frequent.
 	memoryLimitShare = 0.7
-	// weightPerCore is the weight of a VM with one core.
+	// weightPerCore is the rosemary.Member.Weight of a proxy with one core.
 	weightPerCore = 1000
 	// keepAliveIdle is how long a connection may be silent before keep-alive
 	// probes are sent; two unanswered ones end it.
@@ -49,7 +49,7 @@
 // unresponsive peer early.
 type keepAliveDialer struct{}
 
-// Dial opens a stream to address.
+// Dial opens a connection to address.
 func (keepAliveDialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
@@ -60,8 +60,9 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// runVM runs a proxy on the platform until ctx ends.
-func runVM(ctx context.Context, path string) error {
+// runPlatform runs a proxy in platform mode until ctx ends: it speaks the
+// platform's protocol, and reads targets and configuration from its store.
+func runPlatform(ctx context.Context, path string) error {
 	settings, err := rosesettings.LoadPlatform(path)
 	if err != nil {
 		return usageError{err}
@@ -76,10 +77,10 @@
 		debug.SetMemoryLimit(int64(float64(settings.Limits.MemoryMb<<20) * memoryLimitShare))
 	}
 	drainer := &drainer{}
-	node := newNode(settings, drainer.setZonePartitioned)
+	node := newNode(settings, drainer.onZonePartitioned)
 	node.Metrics().TrackDroppedLogLines(logWriter.Dropped)
 	drainer.server = roseplatform.NewServer(node)
-	return serveVM(ctx, path, settings, node, drainer)
+	return servePlatform(ctx, path, settings, node, drainer)
 }
 
 func newNode(settings rosesettings.PlatformSettings, onZonePartitioned func(bool)) *rosenode.Node {
@@ -101,7 +102,7 @@
 	})
 }
 
-func serveVM(ctx context.Context, path string, settings rosesettings.PlatformSettings, node *rosenode.Node, drainer *drainer) error {
+func servePlatform(ctx context.Context, path string, settings rosesettings.PlatformSettings, node *rosenode.Node, drainer *drainer) error {
 	var config net.ListenConfig
 	var listeners []net.Listener
 	for _, address := range []string{settings.Listen.Callers, settings.Listen.Ready, settings.Listen.Admin, settings.Listen.Peers} {
@@ -146,43 +147,44 @@
 	shuttingDown bool
 }
 
-// setZonePartitioned closes idle sessions once the load balancer has had time to
-// send their clients to a proxy of another zone.
-func (d *drainer) setZonePartitioned(partitioned bool) {
+// onZonePartitioned handles the beginning and the end of a partition of the zone.
+// During one, idle sessions are closed, but only after the load balancer has had
+// time to notice, so that their clients reconnect to a proxy of another zone.
+func (d *drainer) onZonePartitioned(partitioned bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case d.shuttingDown:
 	case partitioned:
-		d.server.SetDrain(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(vmBalancerDelay)})
+		d.server.SetDrain(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(platformBalancerDelay)})
 	default:
 		d.server.SetDrain(rosecaller.DrainDeadlines{})
 	}
 }
 
-// beginShutdown drains the sessions for a shutdown. From then on a partition of
-// the zone changes nothing.
-func (d *drainer) beginShutdown(drain rosecaller.DrainDeadlines) {
+// beginShutdown sets the deadlines of a shutdown. A later change of the zone's
+// partition doesn't replace them.
+func (d *drainer) beginShutdown(drainDeadlines rosecaller.DrainDeadlines) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.shuttingDown = true
-	d.server.SetDrain(drain)
+	d.server.SetDrain(drainDeadlines)
 }
 
 // shutDown closes idle sessions, then rolls back open transactions, and finally
 // closes all connections that are left, within the grace time.
-func shutDown(callerListener net.Listener, settings rosesettings.PlatformSettings, node *rosenode.Node, drainer *drainer) {
+func shutDown(clientListener net.Listener, settings rosesettings.PlatformSettings, node *rosenode.Node, drainer *drainer) {
 	server := drainer.server
 	started := time.Now()
 	grace := time.Duration(settings.Limits.GraceTime)
 	klog.InfoS("proxy stopping", "proxy", settings.Name, "callers", server.Callers(), "grace", grace)
 	node.BeginDrain()
-	idleDeadline := started.Add(min(vmBalancerDelay, grace/3))
-	drain := rosecaller.DrainDeadlines{IdleSessions: idleDeadline, OpenTransactions: started.Add(grace / 2)}
-	node.SetDrain(drain)
-	drainer.beginShutdown(drain)
+	idleDeadline := started.Add(min(platformBalancerDelay, grace/3))
+	drainDeadlines := rosecaller.DrainDeadlines{IdleSessions: idleDeadline, OpenTransactions: started.Add(grace / 2)}
+	node.SetDrain(drainDeadlines)
+	drainer.beginShutdown(drainDeadlines)
 	time.Sleep(time.Until(idleDeadline))
-	callerListener.Close()
+	clientListener.Close()
 	deadline := started.Add(grace - shutdownMargin)
 	done := make(chan struct{})
 	go func() {
