--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -40,7 +40,7 @@
 type Stack struct {
 	Config  Config
 	Network *rosenet.Network
-	// Clusters holds the targets of each database by its name.
+	// Groups holds the targets of each database by its name.
 	Groups map[string]*rosetarget.Group
 	// Proxies holds the last run of each proxy, whether or not it is running.
 	Proxies []*Proxy
