--- a/internal/rosecommand/platform.go
+++ b/internal/rosecommand/platform.go
@@ -156,9 +156,9 @@
 	switch {
 	case d.shuttingDown:
 	case partitioned:
-		d.server.SetDrain(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(platformBalancerDelay)})
+		d.server.SetDrainDeadlines(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(platformBalancerDelay)})
 	default:
-		d.server.SetDrain(rosecaller.DrainDeadlines{})
+		d.server.SetDrainDeadlines(rosecaller.DrainDeadlines{})
 	}
 }
 
@@ -168,7 +168,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.shuttingDown = true
-	d.server.SetDrain(drainDeadlines)
+	d.server.SetDrainDeadlines(drainDeadlines)
 }
 
 // shutDown closes idle sessions, then rolls back open transactions, and finally
@@ -181,7 +181,7 @@
 	node.BeginDrain()
 	idleDeadline := started.Add(min(platformBalancerDelay, grace/3))
 	drainDeadlines := rosecaller.DrainDeadlines{IdleSessions: idleDeadline, OpenTransactions: started.Add(grace / 2)}
-	node.SetDrain(drainDeadlines)
+	node.DrainRelayed(drainDeadlines)
 	drainer.beginShutdown(drainDeadlines)
 	time.Sleep(time.Until(idleDeadline))
 	clientListener.Close()
@@ -217,7 +217,7 @@
 		}
 		reloaded, err := rosesettings.LoadPlatform(path)
 		klog.InfoS("settings read anew", "proxy", settings.Name, "sameListeners", reloaded.Listen == settings.Listen,
-			"sameStore", reloaded.Store == settings.Store, "err", roselog.Err(err))
+			"sameStore", reloaded.Store == settings.Store, "err", roselog.ErrorMessage(err))
 	}
 }
 
--- a/internal/rosedaemon/daemon.go
+++ b/internal/rosedaemon/daemon.go
@@ -107,7 +107,7 @@
 	d.newMesh()
 	d.updater = d.newUpdater()
 	d.server = rosefront.NewServer(rosefront.Config{
-		Directory:            d,
+		ConfigProvider:       d,
 		Metrics:              d.metrics,
 		TokenKeys:            config.TokenKeys,
 		TLS:                  config.TLS,
--- a/internal/rosedaemon/peers.go
+++ b/internal/rosedaemon/peers.go
@@ -151,7 +151,7 @@
 
 func (d *Daemon) newSupervisor(b *backend) *rosesupervisor.Supervisor {
 	database := b.database.Name
-	return rosesupervisor.New(rosesupervisor.Config{
+	return rosesupervisor.NewSupervisor(rosesupervisor.Config{
 		Self:  d.config.Name,
 		Group: b.group,
 		Control: func(id rosemary.TargetID) rosemary.TargetControl {
--- a/internal/rosefront/authenticate.go
+++ b/internal/rosefront/authenticate.go
@@ -70,7 +70,7 @@
 // authenticate returns the tenant named user. A tenant without a verifier needs
 // no password.
 func (s *Server) authenticate(backend *pgproto3.Backend, user string) (rosemary.Tenant, error) {
-	tenant, found := s.config.Directory.Tenant(user)
+	tenant, found := s.config.ConfigProvider.Tenant(user)
 	if found && tenant.Verifier == "" {
 		return tenant, nil
 	}
--- a/internal/rosefront/client.go
+++ b/internal/rosefront/client.go
@@ -44,7 +44,7 @@
 	// sentToken is the session token last sent to the client.
 	sentToken string
 	// lease is set during a transaction, and between the parts of a request.
-	lease            *roseroute.Lease
+	lease            *roseroute.ConnLease
 	transactionClass rosemary.Class
 	// claimedID is the request identifier claimed in the open transaction.
 	claimedID string
@@ -234,7 +234,7 @@
 }
 
 // pin keeps the lease for the rest of a transaction or a request.
-func (c *client) pin(lease *roseroute.Lease) {
+func (c *client) pin(lease *roseroute.ConnLease) {
 	c.lease = lease
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rosefront/execute.go
+++ b/internal/rosefront/execute.go
@@ -42,7 +42,7 @@
 
 // leaseFor returns the lease of the open transaction or of earlier parts of the
 // request, or acquires one.
-func (c *client) leaseFor(ctx context.Context, r *request) (*roseroute.Lease, error) {
+func (c *client) leaseFor(ctx context.Context, r *request) (*roseroute.ConnLease, error) {
 	if c.lease != nil {
 		return c.lease, nil
 	}
@@ -75,7 +75,7 @@
 // execution is one attempt to run a request on a connection.
 type execution struct {
 	request       *request
-	lease         *roseroute.Lease
+	lease         *roseroute.ConnLease
 	inTransaction bool
 	cancelSent    bool
 	requestSent   bool
--- a/internal/rosefront/handshake.go
+++ b/internal/rosefront/handshake.go
@@ -116,7 +116,7 @@
 	if database == "" {
 		database = tenant.Name
 	}
-	router, found := s.config.Directory.Router(database)
+	router, found := s.config.ConfigProvider.Router(database)
 	if !found || !mayUseDatabase(tenant, database) {
 		return nil, refuse(rosemary.KindUnknownDatabase, "database "+quote(database)+" does not exist or is not allowed for tenant "+quote(tenant.Name),
 			"check the database name, and the tenant's Databases in the bundle")
--- a/internal/rosefront/handshake_test.go
+++ b/internal/rosefront/handshake_test.go
@@ -24,18 +24,18 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosesession"
 )
 
-// directory has one tenant and one database without targets.
-type directory struct {
+// configProvider has one tenant and one database without targets.
+type configProvider struct {
 	verifier string
 }
 
-func (d directory) Tenant(name string) (rosemary.Tenant, bool) {
+func (d configProvider) Tenant(name string) (rosemary.Tenant, bool) {
 	return rosemary.Tenant{Name: name, Databases: []string{"db"}, Verifier: d.verifier}, name == "clerk"
 }
 
-func (directory) Class(string) (rosemary.Class, bool) { return rosemary.Class{}, false }
+func (configProvider) Class(string) (rosemary.Class, bool) { return rosemary.Class{}, false }
 
-func (directory) Router(database string) (*roseroute.Router, bool) {
+func (configProvider) Router(database string) (*roseroute.Router, bool) {
 	group := rosegroup.NewMonitor(rosegroup.Config{Group: rosemary.Group{Database: database}})
 	return roseroute.NewRouter(roseroute.Config{Group: group}), database == "db"
 }
@@ -46,7 +46,7 @@
 	qt.New(t).Assert(err, qt.IsNil)
 	keys, err := rosesession.NewKeys([]byte("a key that is long enough"))
 	qt.New(t).Assert(err, qt.IsNil)
-	config := rosefront.Config{Directory: directory{verifier}, TokenKeys: keys, MaxClients: 10}
+	config := rosefront.Config{ConfigProvider: configProvider{verifier}, TokenKeys: keys, MaxClients: 10}
 	configure(&config)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.New(t).Assert(err, qt.IsNil)
--- a/internal/rosefront/request.go
+++ b/internal/rosefront/request.go
@@ -64,7 +64,7 @@
 
 func newRequest(c *client, b *batch) *request {
 	r := &request{client: c, batch: b, answer: &answer{client: c}}
-	if router, found := c.server.config.Directory.Router(c.session.Database); found {
+	if router, found := c.server.config.ConfigProvider.Router(c.session.Database); found {
 		c.router = router
 	}
 	r.scan()
@@ -121,7 +121,7 @@
 	if name == "" || name == defaultClass.Name {
 		return defaultClass, nil
 	}
-	class, found := c.server.config.Directory.Class(name)
+	class, found := c.server.config.ConfigProvider.Class(name)
 	if !found {
 		return defaultClass, unknownClass(name)
 	}
--- a/internal/rosefront/server.go
+++ b/internal/rosefront/server.go
@@ -37,9 +37,9 @@
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Directory looks up the configuration in force. Its results may change between
-// calls.
-type Directory interface {
+// ConfigProvider looks up the configuration in force. Its results may change
+// between calls.
+type ConfigProvider interface {
 	// Tenant returns the tenant with the given name.
 	Tenant(name string) (rosemary.Tenant, bool)
 	// Class returns the class with the given name.
@@ -50,7 +50,7 @@
 
 // Config configures a Server.
 type Config struct {
-	Directory Directory
+	ConfigProvider ConfigProvider
 	// TokenKeys sign and verify the session tokens.
 	TokenKeys *rosesession.Keys
 	// TLS is the configuration of encrypted connections; nil disables
--- a/internal/rosefront/settings.go
+++ b/internal/rosefront/settings.go
@@ -90,7 +90,7 @@
 
 func (c *client) setClass(name string) error {
 	if name != "" && name != "default" {
-		if _, found := c.server.config.Directory.Class(name); !found {
+		if _, found := c.server.config.ConfigProvider.Class(name); !found {
 			return unknownClass(name)
 		}
 	}
--- a/internal/rosenode/follow.go
+++ b/internal/rosenode/follow.go
@@ -69,10 +69,10 @@
 			n.apply(configuration)
 			continue
 		case errors.Is(err, rosemary.ErrCompacted):
-			klog.InfoS("configuration read anew", "why", roselog.Err(err))
+			klog.InfoS("configuration read anew", "why", roselog.ErrorMessage(err))
 		case ctx.Err() == nil && !lost:
 			lost = true
-			klog.InfoS("store lost", "for", "configuration", "err", roselog.Err(err))
+			klog.InfoS("store lost", "for", "configuration", "err", roselog.ErrorMessage(err))
 		}
 		revision = 0
 		roseclock.Sleep(ctx, retryDelay)
@@ -130,7 +130,7 @@
 		switch {
 		case err != nil && ctx.Err() == nil:
 			if !failed {
-				klog.InfoS("store lost", "for", "targets", "err", roselog.Err(err))
+				klog.InfoS("store lost", "for", "targets", "err", roselog.ErrorMessage(err))
 			}
 			failed = true
 		case err == nil:
@@ -233,7 +233,7 @@
 func (n *Node) startGroup(name string) *group {
 	ctx, cancel := context.WithCancel(n.context)
 	g := &group{
-		Group: rosefleet.New(rosefleet.Config{
+		Group: rosefleet.NewGroup(rosefleet.Config{
 			Name: name, Zone: n.config.Self.Zone, Dialer: n.config.TargetDialer, Clock: n.config.Clock,
 			AllowPrimary: n.allowPrimary, ZonePartitioned: n.zonePartitioned.Load,
 		}),
--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -96,8 +96,8 @@
 func (g *group) servedTemporarily() bool { return time.Now().Before(g.temporaryUntil) }
 
 var (
-	_ rosecaller.Directory = (*Node)(nil)
-	_ rosecaller.Observer  = (*Node)(nil)
+	_ rosecaller.ConfigProvider = (*Node)(nil)
+	_ rosecaller.Observer       = (*Node)(nil)
 )
 
 // New returns a node; Run starts it.
@@ -181,10 +181,10 @@
 		return "", time.Time{}
 	}
 	view := g.View()
-	if !view.HasPrimaryView {
+	if !view.HasPrimaryTarget {
 		return "", time.Time{}
 	}
-	return view.PrimaryView.Zone, view.PrimarySince
+	return view.PrimaryTarget.Zone, view.PrimarySince
 }
 
 // runContext returns the context of Run, or a canceled one before Run.
@@ -232,7 +232,7 @@
 		n.Refused(database, "", refusal, "", 0)
 		return nil, refusal
 	}
-	return rosecaller.New(rosecaller.Config{Directory: n, Database: database, Executor: placement{n}, Observer: n}), nil
+	return rosecaller.NewSession(rosecaller.Config{ConfigProvider: n, Database: database, Executor: placement{n}, Observer: n}), nil
 }
 
 // Route returns the route of a database in the configuration in force.
@@ -318,9 +318,9 @@
 	n.mesh.Leave()
 }
 
-// SetDrain sets the deadlines for tasks and transactions that other proxies
+// DrainRelayed sets the deadlines for tasks and transactions that other proxies
 // relay to this one.
-func (n *Node) SetDrain(drain rosecaller.DrainDeadlines) { n.relayServer.SetDrain(drain) }
+func (n *Node) DrainRelayed(drain rosecaller.DrainDeadlines) { n.relayServer.SetDrainDeadlines(drain) }
 
 // WaitRelayed blocks until no relayed task or transaction of other proxies is
 // left, or until ctx ends.
--- a/internal/rosenode/peers.go
+++ b/internal/rosenode/peers.go
@@ -216,11 +216,11 @@
 		}
 		text, err := n.mesh.FetchPart(ctx, from, "")
 		if err != nil {
-			klog.InfoS("configuration not pulled", "from", from, "version", version, "err", roselog.Err(err))
+			klog.InfoS("configuration not pulled", "from", from, "version", version, "err", roselog.ErrorMessage(err))
 			return
 		}
 		configuration, err := n.config.Configurations.Parse(text)
-		klog.InfoS("configuration pulled", "from", from, "version", version, "err", roselog.Err(err))
+		klog.InfoS("configuration pulled", "from", from, "version", version, "err", roselog.ErrorMessage(err))
 		if err == nil {
 			n.apply(configuration)
 		}
@@ -292,9 +292,9 @@
 	return agreedPeers(replies), asked
 }
 
-// Suspect tells all linked peers that the target has just failed to answer this
-// proxy, so that they sample it at once.
-func (p peers) Suspect(ctx context.Context, group string, target rosemary.TargetID) {
+// ReportSuspected tells all linked peers that the target has just failed to
+// answer this proxy, so that they sample it at once.
+func (p peers) ReportSuspected(ctx context.Context, group string, target rosemary.TargetID) {
 	p.notifyAll(ctx, rosepeer.AboutPrimarySuspected, group, target)
 }
 
--- a/pkg/rosecaller/execution.go
+++ b/pkg/rosecaller/execution.go
@@ -145,7 +145,7 @@
 )
 
 // try runs the statement once.
-func (j *job) try(execution *execution, lease *rosefleet.Lease) (rosemary.Answer, tryResult) {
+func (j *job) try(execution *execution, lease *rosefleet.ConnLease) (rosemary.Answer, tryResult) {
 	statement := execution.statement
 	j.setTarget(lease)
 	setup, state := j.setupStatements(lease, statement)
@@ -196,7 +196,7 @@
 
 // classify decides whether an answer is final, is retried, or leaves the
 // outcome of a write unknown.
-func (j *job) classify(execution *execution, lease *rosefleet.Lease, answer rosemary.Answer) tryResult {
+func (j *job) classify(execution *execution, lease *rosefleet.ConnLease, answer rosemary.Answer) tryResult {
 	writes := execution.statement.Writes
 	switch answer.Failure {
 	case rosemary.FailureNone:
--- a/pkg/rosecaller/local_executor.go
+++ b/pkg/rosecaller/local_executor.go
@@ -49,12 +49,12 @@
 	executor         *LocalExecutor
 	task             Task
 	transactionState rosemary.TransactionState
-	lease            *rosefleet.Lease
+	lease            *rosefleet.ConnLease
 	wrote            bool
 	// target is the last target that the job had a lease on, and
-	// targetIsPrimary is set if it was the primary of its group.
-	target          rosemary.TargetID
-	targetIsPrimary bool
+	// onPrimary is set if it was the primary of its group.
+	target    rosemary.TargetID
+	onPrimary bool
 }
 
 var _ Transaction = (*job)(nil)
@@ -76,13 +76,13 @@
 }
 
 // setTarget records the target of a lease.
-func (j *job) setTarget(l *rosefleet.Lease) { j.target, j.targetIsPrimary = l.Target(), l.Primary() }
+func (j *job) setTarget(l *rosefleet.ConnLease) { j.target, j.onPrimary = l.Target(), l.Primary() }
 
 func (j *job) result(answer rosemary.Answer, refusal *rosemary.Refusal) Result {
 	answer.TransactionState = j.transactionState
 	return Result{
 		Answer: answer, Refusal: refusal, MinPosition: j.task.MinPosition, MinPositionUnknown: j.task.MinPositionUnknown,
-		Target: j.target, Primary: j.targetIsPrimary, Open: j.lease != nil,
+		Target: j.target, Primary: j.onPrimary, Open: j.lease != nil,
 	}
 }
 
--- a/pkg/rosecaller/session.go
+++ b/pkg/rosecaller/session.go
@@ -12,9 +12,9 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// Directory looks up the active configuration. Its answers may change between
-// calls.
-type Directory interface {
+// ConfigProvider looks up the active configuration. Its answers may change
+// between calls.
+type ConfigProvider interface {
 	// Route returns the route of a database.
 	Route(database string) (rosemary.Route, bool)
 	// TransactionIdleTimeout is how long a transaction may be idle.
@@ -23,10 +23,10 @@
 
 // Config configures a Session.
 type Config struct {
-	Directory Directory
-	Database  string
-	Executor  Executor
-	Observer  Observer
+	ConfigProvider ConfigProvider
+	Database       string
+	Executor       Executor
+	Observer       Observer
 }
 
 // Observer receives the results of requests. Its methods must not block.
@@ -67,8 +67,8 @@
 	expired bool
 }
 
-// New returns a session on the database of config.
-func New(config Config) *Session {
+// NewSession returns a session on the database of config.
+func NewSession(config Config) *Session {
 	return &Session{config: config, id: lastSessionID.Add(1), prepared: make(map[string]rosemary.Statement)}
 }
 
@@ -81,7 +81,7 @@
 	if s.transactionState != rosemary.TransactionOpen {
 		return 0
 	}
-	return s.config.Directory.TransactionIdleTimeout()
+	return s.config.ConfigProvider.TransactionIdleTimeout()
 }
 
 // Expire rolls back a transaction whose client was idle for too long. The
@@ -153,7 +153,7 @@
 	if s.transactionState != rosemary.TransactionNone {
 		return rosemary.Answer{}, protocolError("a transaction is already open", "commit or roll back the transaction first")
 	}
-	route, found := s.config.Directory.Route(s.config.Database)
+	route, found := s.config.ConfigProvider.Route(s.config.Database)
 	if !found {
 		return rosemary.Answer{}, unknownDatabase(s.config.Database)
 	}
@@ -176,7 +176,7 @@
 		task.Prepared = p
 	}
 	if s.transactionState == rosemary.TransactionNone {
-		route, found := s.config.Directory.Route(s.config.Database)
+		route, found := s.config.ConfigProvider.Route(s.config.Database)
 		if !found {
 			return rosemary.Answer{}, unknownDatabase(s.config.Database)
 		}
--- a/pkg/rosecaller/session_state.go
+++ b/pkg/rosecaller/session_state.go
@@ -31,7 +31,7 @@
 
 // setupStatements returns the statements that apply the session's settings and
 // prepared statements to a connection, and its state once they have run.
-func (j *job) setupStatements(lease *rosefleet.Lease, statement rosemary.Statement) ([]rosemary.Statement, *sessionState) {
+func (j *job) setupStatements(lease *rosefleet.ConnLease, statement rosemary.Statement) ([]rosemary.Statement, *sessionState) {
 	var statements []rosemary.Statement
 	next := &sessionState{settings: j.task.Settings, prepared: make(map[string]bool)}
 	current, _ := lease.SessionState().(*sessionState)
--- a/pkg/rosecaller/session_test.go
+++ b/pkg/rosecaller/session_test.go
@@ -59,7 +59,7 @@
 
 func newSession(results ...rosecaller.Result) (*rosecaller.Session, *executor) {
 	e := &executor{results: results}
-	return rosecaller.New(rosecaller.Config{Directory: e, Database: "db", Executor: e, Observer: e}), e
+	return rosecaller.NewSession(rosecaller.Config{ConfigProvider: e, Database: "db", Executor: e, Observer: e}), e
 }
 
 func statement(kind rosemary.StatementKind, name, payload string) rosemary.Statement {
--- a/pkg/rosefleet/group.go
+++ b/pkg/rosefleet/group.go
@@ -40,12 +40,12 @@
 	config Config
 	tasks  sync.WaitGroup
 
-	mu           sync.Mutex
-	leadership   *rosegroup.Leadership
-	endpoints    map[rosemary.TargetID]*endpoint
-	changed      chan struct{}
-	primarySince time.Time
-	closed       bool
+	mu             sync.Mutex
+	primaryTracker *rosegroup.PrimaryTracker
+	endpoints      map[rosemary.TargetID]*endpoint
+	changed        chan struct{}
+	primarySince   time.Time
+	closed         bool
 }
 
 // endpoint is one target with its connections.
@@ -80,8 +80,8 @@
 	responseTime time.Duration
 }
 
-// New returns a group without targets.
-func New(config Config) *Group {
+// NewGroup returns a group without targets.
+func NewGroup(config Config) *Group {
 	if config.AllowPrimary == nil {
 		config.AllowPrimary = func() bool { return true }
 	}
@@ -89,10 +89,10 @@
 		config.ZonePartitioned = func() bool { return false }
 	}
 	return &Group{
-		config:     config,
-		leadership: rosegroup.NewLeadership(),
-		endpoints:  make(map[rosemary.TargetID]*endpoint),
-		changed:    make(chan struct{}),
+		config:         config,
+		primaryTracker: rosegroup.NewPrimaryTracker(),
+		endpoints:      make(map[rosemary.TargetID]*endpoint),
+		changed:        make(chan struct{}),
 	}
 }
 
@@ -142,7 +142,7 @@
 			g.remove(e, "it is no longer registered")
 		}
 	}
-	g.leadership.SetTargets(ids)
+	g.primaryTracker.SetTargets(ids)
 }
 
 // add creates an endpoint and starts to sample it. The lock must be held.
@@ -166,7 +166,7 @@
 func (g *Group) remove(e *endpoint, reason string) {
 	klog.InfoS("target removed", "group", g.config.Name, "target", e.target.ID, "why", reason)
 	delete(g.endpoints, e.target.ID)
-	g.leadership.ObservePossibleRestart(e.target.ID)
+	g.primaryTracker.ObservePossibleRestart(e.target.ID)
 	e.cancel()
 	e.pool.close()
 	g.notifyWaiters()
@@ -196,16 +196,16 @@
 	if g.endpoints[e.target.ID] != e {
 		return
 	}
-	before, _ := g.leadership.Primary()
-	g.leadership.Observe(status, sentAt)
+	before, _ := g.primaryTracker.Primary()
+	g.primaryTracker.Observe(status, sentAt)
 	e.unreachableSince, e.connectionRefused = time.Time{}, false
 	e.observeApplied(status.Applied, sentAt)
 	if status.Role == rosemary.RolePrimary {
-		g.leadership.ObservePosition(e.target.ID, status.Term, status.Position, sentAt, g.config.Clock.Now())
+		g.primaryTracker.ObservePosition(e.target.ID, status.Term, status.Position, sentAt, g.config.Clock.Now())
 	}
 	g.handlePrimaryChange(before, "status of "+string(e.target.ID))
 	now := g.config.Clock.Now()
-	if primary, ok := g.leadership.Primary(); ok && now.Before(primary.ValidUntil) && !now.Before(before.ValidUntil) {
+	if primary, ok := g.primaryTracker.Primary(); ok && now.Before(primary.ValidUntil) && !now.Before(before.ValidUntil) {
 		g.notifyWaiters()
 	}
 }
@@ -214,14 +214,14 @@
 // group's lock must be held.
 func (e *endpoint) observeApplied(position rosemary.Position, at time.Time) {
 	if !position.IsZero() {
-		e.lag, e.lagAt = e.group.leadership.Lag(position, at), at
+		e.lag, e.lagAt = e.group.primaryTracker.Lag(position, at), at
 	}
 }
 
 // handlePrimaryChange logs a change of primary, closes the idle connections to the
 // old one and has all targets sampled. The lock must be held.
 func (g *Group) handlePrimaryChange(before rosegroup.PrimaryLease, cause string) {
-	primary, known := g.leadership.Primary()
+	primary, known := g.primaryTracker.Primary()
 	if primary.Target == before.Target && primary.Term == before.Term {
 		return
 	}
@@ -246,10 +246,10 @@
 	}
 	if e.unreachableSince.IsZero() {
 		e.unreachableSince = sentAt
-		klog.InfoS("target lost", "group", g.config.Name, "target", e.target.ID, "err", roselog.Err(err))
+		klog.InfoS("target lost", "group", g.config.Name, "target", e.target.ID, "err", roselog.ErrorMessage(err))
 	}
 	e.connectionRefused = errors.Is(err, syscall.ECONNREFUSED)
-	g.leadership.ObservePossibleRestart(e.target.ID)
+	g.primaryTracker.ObservePossibleRestart(e.target.ID)
 	e.requestSample()
 }
 
@@ -259,7 +259,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.endpoints[e.target.ID] == e {
-		g.leadership.ObservePossibleRestart(e.target.ID)
+		g.primaryTracker.ObservePossibleRestart(e.target.ID)
 	}
 }
 
@@ -285,11 +285,11 @@
 func (g *Group) observeNotPrimary(e *endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before, known := g.leadership.Primary()
+	before, known := g.primaryTracker.Primary()
 	if !known || before.Target != e.target.ID {
 		return
 	}
-	g.leadership.ObserveNotPrimary(e.target.ID)
+	g.primaryTracker.ObserveNotPrimary(e.target.ID)
 	g.handlePrimaryChange(before, "refused by "+string(e.target.ID))
 }
 
@@ -297,7 +297,7 @@
 func (g *Group) RevokePrimary(term uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.leadership.RevokePrimary(term)
+	g.primaryTracker.RevokePrimary(term)
 	klog.InfoS("primary not relied on any more", "group", g.config.Name, "term", term)
 	for _, e := range g.endpoints {
 		e.requestSample()
@@ -343,14 +343,14 @@
 func (g *Group) MinPosition(maxAge time.Duration) (rosemary.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leadership.MinPosition(g.config.Clock.Now().Add(-maxAge))
+	return g.primaryTracker.MinPosition(g.config.Clock.Now().Add(-maxAge))
 }
 
 // PrimaryValid reports whether a primary is known and may be relied on now.
 func (g *Group) PrimaryValid() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	primary, known := g.leadership.Primary()
+	primary, known := g.primaryTracker.Primary()
 	return known && g.config.AllowPrimary() && g.config.Clock.Now().Before(primary.ValidUntil)
 }
 
@@ -369,13 +369,13 @@
 
 // View is a snapshot of a group.
 type View struct {
-	Primary        rosegroup.PrimaryLease
-	HasPrimary     bool
-	PrimaryValid   bool
-	Term           uint64
-	Targets        []TargetView
-	PrimaryView    TargetView
-	HasPrimaryView bool
+	PrimaryLease     rosegroup.PrimaryLease
+	HasPrimaryLease  bool
+	PrimaryValid     bool
+	Term             uint64
+	Targets          []TargetView
+	PrimaryTarget    TargetView
+	HasPrimaryTarget bool
 	// PrimarySince is when this proxy learned of the primary.
 	PrimarySince time.Time
 }
@@ -385,10 +385,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Clock.Now()
-	primary, known := g.leadership.Primary()
-	view := View{Primary: primary, HasPrimary: known, PrimaryValid: known && g.config.AllowPrimary() && now.Before(primary.ValidUntil), Term: g.leadership.Term(), PrimarySince: g.primarySince}
+	primary, known := g.primaryTracker.Primary()
+	view := View{PrimaryLease: primary, HasPrimaryLease: known, PrimaryValid: known && g.config.AllowPrimary() && now.Before(primary.ValidUntil), Term: g.primaryTracker.Term(), PrimarySince: g.primarySince}
 	for id, e := range g.endpoints {
-		status, seenAt, _ := g.leadership.Status(id)
+		status, seenAt, _ := g.primaryTracker.Status(id)
 		t := TargetView{
 			TargetRegistration: rosemary.TargetRegistration{Target: e.target, Group: g.config.Name, Slots: e.slots, Leaving: e.leaving, Incarnation: e.incarnation},
 			Status:             status, SeenAt: seenAt, ConnectionRefused: e.connectionRefused,
@@ -397,7 +397,7 @@
 			t.UnreachableFor = now.Sub(e.unreachableSince)
 		}
 		if known && id == primary.Target {
-			view.PrimaryView, view.HasPrimaryView = t, true
+			view.PrimaryTarget, view.HasPrimaryTarget = t, true
 		}
 		view.Targets = append(view.Targets, t)
 	}
--- a/pkg/rosefleet/lease.go
+++ b/pkg/rosefleet/lease.go
@@ -52,9 +52,8 @@
 	Avoid rosemary.TargetID
 }
 
-// Lease is a connection for the exclusive use of one session. It is unrelated to
-// the primary lease (rosegroup.PrimaryLease).
-type Lease struct {
+// ConnLease is a connection for the exclusive use of one session.
+type ConnLease struct {
 	group    *Group
 	endpoint *endpoint
 	pooled   *pooledConn
@@ -65,7 +64,7 @@
 
 // Acquire chooses a target and returns a connection to it. If it fails, nothing
 // was sent on behalf of the session.
-func (g *Group) Acquire(ctx context.Context, request Request) (*Lease, *rosemary.Refusal) {
+func (g *Group) Acquire(ctx context.Context, request Request) (*ConnLease, *rosemary.Refusal) {
 	for {
 		e, term, changed := g.choose(request)
 		if e != nil {
@@ -102,7 +101,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Clock.Now()
-	primary, known := g.leadership.Primary()
+	primary, known := g.primaryTracker.Primary()
 	valid := known && g.config.AllowPrimary() && now.Before(primary.ValidUntil)
 	if request.Primary {
 		if e := g.endpoints[primary.Target]; valid && e != nil && e.unreachableSince.IsZero() && !e.pastLeavingGrace(now) {
@@ -131,7 +130,7 @@
 // by its last known lag, or whether that lag is too old to tell. The lock must be
 // held.
 func (g *Group) caughtUp(e *endpoint, now time.Time, position rosemary.Position) bool {
-	reachedAt := g.leadership.ReachedAt(position)
+	reachedAt := g.primaryTracker.ReachedAt(position)
 	if reachedAt.IsZero() {
 		reachedAt = now
 	}
@@ -148,7 +147,7 @@
 // A random factor of up to 5 % spreads requests over targets of similar cost. The
 // lock must be held.
 func (g *Group) cost(e *endpoint, primary rosegroup.PrimaryLease, valid bool, now time.Time, request Request) (time.Duration, bool) {
-	status, _, seen := g.leadership.Status(e.target.ID)
+	status, _, seen := g.primaryTracker.Status(e.target.ID)
 	if !seen || !e.unreachableSince.IsZero() {
 		return 0, false
 	}
@@ -179,7 +178,7 @@
 
 // acquireFrom takes a connection to e. It returns neither a lease nor a refusal if
 // the target has to be chosen again.
-func (g *Group) acquireFrom(ctx context.Context, e *endpoint, term uint64, request Request) (*Lease, *rosemary.Refusal) {
+func (g *Group) acquireFrom(ctx context.Context, e *endpoint, term uint64, request Request) (*ConnLease, *rosemary.Refusal) {
 	request.SoftDeadline = request.SoftDeadline.Add(-e.meanResponseTime())
 	if wait, worthwhile := e.pool.admit(request); !worthwhile {
 		return nil, e.overloadedRefusal(wait)
@@ -194,7 +193,7 @@
 	if !ok {
 		return nil, nil
 	}
-	lease := &Lease{group: g, endpoint: e, pooled: c, term: term}
+	lease := &ConnLease{group: g, endpoint: e, pooled: c, term: term}
 	if c == nil {
 		var err error
 		if c, err = e.dial(ctx); err != nil {
@@ -242,31 +241,31 @@
 }
 
 // Target returns the target of the connection.
-func (l *Lease) Target() rosemary.TargetID { return l.endpoint.target.ID }
+func (l *ConnLease) Target() rosemary.TargetID { return l.endpoint.target.ID }
 
 // Primary reports whether the target was the primary when the connection was
 // acquired.
-func (l *Lease) Primary() bool { return l.term > 0 }
+func (l *ConnLease) Primary() bool { return l.term > 0 }
 
 // SessionState returns what the last user of the connection set as its state, nil
 // for a new connection.
-func (l *Lease) SessionState() any { return l.pooled.sessionState }
+func (l *ConnLease) SessionState() any { return l.pooled.sessionState }
 
 // SetSessionState sets the state that the next user of the connection will find.
-func (l *Lease) SetSessionState(state any) { l.pooled.sessionState = state }
+func (l *ConnLease) SetSessionState(state any) { l.pooled.sessionState = state }
 
 // StillPrimary reports whether the target is still the primary of the term in which
 // the connection was acquired. If so, no answer received so far came from a primary
 // that had already been replaced.
-func (l *Lease) StillPrimary() bool {
+func (l *ConnLease) StillPrimary() bool {
 	l.group.mu.Lock()
 	defer l.group.mu.Unlock()
-	return l.group.config.AllowPrimary() && l.group.leadership.IsPrimary(l.endpoint.target.ID, l.term, l.group.config.Clock.Now())
+	return l.group.config.AllowPrimary() && l.group.primaryTracker.IsPrimary(l.endpoint.target.ID, l.term, l.group.config.Clock.Now())
 }
 
 // Exchange runs statements on the connection, and updates the state of the target
 // from the last answer.
-func (l *Lease) Exchange(deadline time.Time, statements ...rosemary.Statement) ([]rosemary.Answer, bool, error) {
+func (l *ConnLease) Exchange(deadline time.Time, statements ...rosemary.Statement) ([]rosemary.Answer, bool, error) {
 	sentAt := l.group.config.Clock.Now()
 	started := time.Now()
 	answers, sent, err := l.pooled.conn.Exchange(deadline, statements...)
@@ -280,7 +279,7 @@
 
 // observeAnswer records the position or the failure of an answer. Only successes,
 // which have a digest, count for the mean response time.
-func (l *Lease) observeAnswer(answer rosemary.Answer, sentAt time.Time, took time.Duration) {
+func (l *ConnLease) observeAnswer(answer rosemary.Answer, sentAt time.Time, took time.Duration) {
 	g, e := l.group, l.endpoint
 	switch answer.Failure {
 	case rosemary.FailureReadOnly:
@@ -305,12 +304,12 @@
 		e.responseTime += time.Duration(responseTimeWeight * float64(took-e.responseTime))
 	}
 	if l.term > 0 && answer.Position.LogTerm == l.term {
-		g.leadership.ObservePosition(e.target.ID, l.term, answer.Position, sentAt, g.config.Clock.Now())
+		g.primaryTracker.ObservePosition(e.target.ID, l.term, answer.Position, sentAt, g.config.Clock.Now())
 	}
 }
 
 // Release returns the connection to the pool, or closes it if it isn't reusable.
-func (l *Lease) Release(reusable bool) {
+func (l *ConnLease) Release(reusable bool) {
 	if reusable {
 		l.endpoint.pool.put(l.pooled)
 	} else {
--- a/pkg/rosefleet/pool_test.go
+++ b/pkg/rosefleet/pool_test.go
@@ -174,7 +174,7 @@
 func TestAcquireIsRefusedAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		g := New(Config{Name: "g"})
+		g := NewGroup(Config{Name: "g"})
 		e := &endpoint{group: g, pool: newPool()}
 		e.pool.take(Request{})
 		lease, refusal := g.acquireFrom(context.Background(), e, 0, request(1, time.Second, 10*time.Millisecond))
--- a/pkg/rosefleet/sample.go
+++ b/pkg/rosefleet/sample.go
@@ -76,7 +76,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Clock.Now()
-	shared := g.leadership.RecentStatuses(now.Add(-maxSharedAge))
+	shared := g.primaryTracker.RecentStatuses(now.Add(-maxSharedAge))
 	return slices.DeleteFunc(shared, func(s rosegroup.SharedStatus) bool {
 		e := g.endpoints[s.Status.Target]
 		return e == nil || now.Sub(e.sharedAt) < maxSharedAge || !e.unreachableSince.IsZero()
@@ -87,22 +87,22 @@
 func (g *Group) ObserveShared(shared []rosegroup.SharedStatus) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before, _ := g.leadership.Primary()
+	before, _ := g.primaryTracker.Primary()
 	now := g.config.Clock.Now()
 	for _, s := range shared {
 		e := g.endpoints[s.Status.Target]
 		if e == nil || !e.unreachableSince.IsZero() {
 			continue
 		}
-		g.leadership.ObserveShared(s)
+		g.primaryTracker.ObserveShared(s)
 		e.sharedAt = s.SentAt
 		e.observeApplied(s.Status.Applied, s.SentAt)
 		if s.Status.Role == rosemary.RolePrimary {
-			g.leadership.ObservePosition(e.target.ID, s.Status.Term, s.Status.Position, s.SentAt, now)
+			g.primaryTracker.ObservePosition(e.target.ID, s.Status.Term, s.Status.Position, s.SentAt, now)
 		}
 	}
 	g.handlePrimaryChange(before, "status of another proxy")
-	if primary, ok := g.leadership.Primary(); ok && now.Before(primary.ValidUntil) && !now.Before(before.ValidUntil) {
+	if primary, ok := g.primaryTracker.Primary(); ok && now.Before(primary.ValidUntil) && !now.Before(before.ValidUntil) {
 		g.notifyWaiters()
 	}
 }
--- a/pkg/rosefleet/shared_test.go
+++ b/pkg/rosefleet/shared_test.go
@@ -61,7 +61,7 @@
 func TestPrimaryStaysValidWhenSharedStatusesStop(t *testing.T) {
 	for stopsAt := 2 * time.Second; stopsAt < 2300*time.Millisecond; stopsAt += 10 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			g := rosefleet.New(rosefleet.Config{
+			g := rosefleet.NewGroup(rosefleet.Config{
 				Name: "g", Zone: "z", Dialer: statusDialer(2 * time.Millisecond), Clock: roseclock.Runtime{},
 			})
 			defer g.Close()
--- a/pkg/rosegroup/leadership.go
+++ b/pkg/rosegroup/leadership.go
@@ -24,16 +24,16 @@
 	minPositionInterval = 20 * time.Millisecond
 )
 
-// Leadership tracks the primary of a group whose promotions are ordered by
+// PrimaryTracker tracks the primary of a group whose promotions are ordered by
 // other processes, and how long this process may rely on it: the primary
 // lease. A promotion fences every replica and then waits PrimaryLeaseTime, so
 // a replica that was unfenced less than PrimaryLeaseTime ago proves that no
 // promotion has taken effect. A replica is fenced while its Status.PausedTerm is
 // set: it rejects its primary's log (see rosemary.Conn.Pause).
 //
-// Leadership isn't safe for concurrent use. It reads no clock; the times passed
-// in must come from one that counts suspended time.
-type Leadership struct {
+// A PrimaryTracker isn't safe for concurrent use. It reads no clock; the times
+// passed in must come from one that counts suspended time.
+type PrimaryTracker struct {
 	targets   map[rosemary.TargetID]*targetState
 	term      uint64
 	positions []timedPosition
@@ -57,14 +57,14 @@
 	position rosemary.Position
 }
 
-// NewLeadership returns a Leadership without targets.
-func NewLeadership() *Leadership {
-	return &Leadership{targets: make(map[rosemary.TargetID]*targetState)}
+// NewPrimaryTracker returns a tracker without targets.
+func NewPrimaryTracker() *PrimaryTracker {
+	return &PrimaryTracker{targets: make(map[rosemary.TargetID]*targetState)}
 }
 
 // SetTargets replaces the targets of the group, and keeps the state of those
 // that stay.
-func (l *Leadership) SetTargets(ids []rosemary.TargetID) {
+func (l *PrimaryTracker) SetTargets(ids []rosemary.TargetID) {
 	targets := make(map[rosemary.TargetID]*targetState, len(ids))
 	for _, id := range ids {
 		if s := l.targets[id]; s != nil {
@@ -77,7 +77,7 @@
 }
 
 // Observe records a status that was requested at sentAt.
-func (l *Leadership) Observe(status rosemary.Status, sentAt time.Time) {
+func (l *PrimaryTracker) Observe(status rosemary.Status, sentAt time.Time) {
 	s := l.targets[status.Target]
 	if s == nil || s.seen && sentAt.Before(s.sentAt) {
 		return
@@ -105,7 +105,7 @@
 }
 
 // RecentStatuses returns the statuses requested at or after since.
-func (l *Leadership) RecentStatuses(since time.Time) []SharedStatus {
+func (l *PrimaryTracker) RecentStatuses(since time.Time) []SharedStatus {
 	var shared []SharedStatus
 	for _, s := range l.targets {
 		if s.seen && !s.sentAt.Before(since) {
@@ -118,7 +118,7 @@
 // ObserveShared records a status that another proxy has requested. If the two
 // proxies differ on since when the target is unfenced, the later time counts:
 // one of them may have noticed a restart.
-func (l *Leadership) ObserveShared(shared SharedStatus) {
+func (l *PrimaryTracker) ObserveShared(shared SharedStatus) {
 	s := l.targets[shared.Status.Target]
 	if s == nil || s.seen && shared.SentAt.Before(s.sentAt) {
 		return
@@ -149,7 +149,7 @@
 
 // ObserveNotPrimary records that a target refused work because it isn't the
 // primary.
-func (l *Leadership) ObserveNotPrimary(id rosemary.TargetID) {
+func (l *PrimaryTracker) ObserveNotPrimary(id rosemary.TargetID) {
 	if s := l.targets[id]; s != nil {
 		s.status.Role = rosemary.RoleReplica
 	}
@@ -157,11 +157,11 @@
 
 // RevokePrimary ends the lease on the primaries of term and of earlier terms,
 // because a replacement is under way.
-func (l *Leadership) RevokePrimary(term uint64) { l.revokedTerm = max(l.revokedTerm, term) }
+func (l *PrimaryTracker) RevokePrimary(term uint64) { l.revokedTerm = max(l.revokedTerm, term) }
 
 // ObservePossibleRestart records that a target may have restarted, which would
 // have ended its fence.
-func (l *Leadership) ObservePossibleRestart(id rosemary.TargetID) {
+func (l *PrimaryTracker) ObservePossibleRestart(id rosemary.TargetID) {
 	if s := l.targets[id]; s != nil {
 		s.unfencedSince = time.Time{}
 		s.seen = false
@@ -178,7 +178,7 @@
 
 // Primary returns the primary of the newest term with its lease, which may have
 // ended. It reports false when no primary is known.
-func (l *Leadership) Primary() (PrimaryLease, bool) {
+func (l *PrimaryTracker) Primary() (PrimaryLease, bool) {
 	for id, s := range l.targets {
 		if s.status.Role != rosemary.RolePrimary || s.status.Term != l.term || l.term == 0 {
 			continue
@@ -195,7 +195,7 @@
 // leaseEnd returns when the lease on primary ends. The lease starts at the newest
 // status of a replica that has been unfenced for minUnfencedTime or, if all
 // replicas are unfenced and that is later, at the oldest of their statuses.
-func (l *Leadership) leaseEnd(primary rosemary.TargetID) time.Time {
+func (l *PrimaryTracker) leaseEnd(primary rosemary.TargetID) time.Time {
 	var provenAt, oldest time.Time
 	replicas, unfenced := 0, 0
 	for id, s := range l.targets {
@@ -229,14 +229,14 @@
 
 // IsPrimary reports whether the target is certain to be the primary of term at
 // now.
-func (l *Leadership) IsPrimary(id rosemary.TargetID, term uint64, now time.Time) bool {
+func (l *PrimaryTracker) IsPrimary(id rosemary.TargetID, term uint64, now time.Time) bool {
 	lease, known := l.Primary()
 	return known && lease.Target == id && lease.Term == term && now.Before(lease.ValidUntil)
 }
 
 // ObservePosition records a position that the target reported in response to a
 // request sent at sentAt, if it is certain to be the primary of term at now.
-func (l *Leadership) ObservePosition(id rosemary.TargetID, term uint64, position rosemary.Position, sentAt, now time.Time) {
+func (l *PrimaryTracker) ObservePosition(id rosemary.TargetID, term uint64, position rosemary.Position, sentAt, now time.Time) {
 	if position.IsZero() || !l.IsPrimary(id, term, now) {
 		return
 	}
@@ -254,7 +254,7 @@
 
 // MinPosition returns the lowest known position that includes every commit
 // acknowledged before since. It reports false when none is known.
-func (l *Leadership) MinPosition(since time.Time) (rosemary.Position, bool) {
+func (l *PrimaryTracker) MinPosition(since time.Time) (rosemary.Position, bool) {
 	for _, p := range l.positions {
 		if !p.at.Before(since) {
 			return p.position, true
@@ -265,7 +265,7 @@
 
 // ReachedAt returns when the primary was first known to have reached position;
 // zero if it isn't known to have.
-func (l *Leadership) ReachedAt(position rosemary.Position) time.Time {
+func (l *PrimaryTracker) ReachedAt(position rosemary.Position) time.Time {
 	i := sort.Search(len(l.positions), func(n int) bool { return l.positions[n].position.AtLeast(position) })
 	if i == len(l.positions) {
 		return time.Time{}
@@ -275,7 +275,7 @@
 
 // Lag returns how far behind the primary a replica was that had applied
 // position at the given time.
-func (l *Leadership) Lag(position rosemary.Position, at time.Time) time.Duration {
+func (l *PrimaryTracker) Lag(position rosemary.Position, at time.Time) time.Duration {
 	next := sort.Search(len(l.positions), func(n int) bool { return l.positions[n].position.Compare(position) > 0 })
 	if next == len(l.positions) {
 		return 0
@@ -285,7 +285,7 @@
 
 // Status returns the newest status of a target, when it was requested, and
 // whether there is one.
-func (l *Leadership) Status(id rosemary.TargetID) (rosemary.Status, time.Time, bool) {
+func (l *PrimaryTracker) Status(id rosemary.TargetID) (rosemary.Status, time.Time, bool) {
 	s := l.targets[id]
 	if s == nil || !s.seen {
 		return rosemary.Status{}, time.Time{}, false
@@ -294,4 +294,4 @@
 }
 
 // Term returns the newest term seen.
-func (l *Leadership) Term() uint64 { return l.term }
+func (l *PrimaryTracker) Term() uint64 { return l.term }
--- a/pkg/rosegroup/leadership_test.go
+++ b/pkg/rosegroup/leadership_test.go
@@ -10,14 +10,14 @@
 	"github.com/rosemarywell/rosemarywell/pkg/rosemary"
 )
 
-// fixture is a Leadership with a clock.
+// fixture is a PrimaryTracker with a clock.
 type fixture struct {
-	*rosegroup.Leadership
+	*rosegroup.PrimaryTracker
 	now time.Time
 }
 
 func newFixture() *fixture {
-	f := &fixture{rosegroup.NewLeadership(), time.Unix(1000, 0)}
+	f := &fixture{rosegroup.NewPrimaryTracker(), time.Unix(1000, 0)}
 	f.SetTargets([]rosemary.TargetID{"a", "b", "c"})
 	return f
 }
--- a/pkg/rosegroup/lease_explore_test.go
+++ b/pkg/rosegroup/lease_explore_test.go
@@ -52,11 +52,11 @@
 	// queried is the replica whose status the proxy has requested, -1 for none;
 	// queriedAt is when it did. response is what the replica sent if answered is
 	// set; the proxy hasn't received it yet.
-	queried    int
-	queriedAt  int
-	answered   bool
-	response   replicaState
-	leadership *Leadership
+	queried   int
+	queriedAt int
+	answered  bool
+	response  replicaState
+	tracker   *PrimaryTracker
 }
 
 var modelReplicas = [2]rosemary.TargetID{"r-1", "r-2"}
@@ -82,24 +82,24 @@
 }
 
 func initialState() modelState {
-	l := NewLeadership()
+	l := NewPrimaryTracker()
 	l.SetTargets([]rosemary.TargetID{"p", modelReplicas[0], modelReplicas[1]})
 	l.Observe(rosemary.Status{Target: "p", Role: rosemary.RolePrimary, Term: 1, Position: rosemary.Position{LogTerm: 1, Offset: 1}}, at(0))
 	for _, id := range modelReplicas {
 		l.ObserveShared(SharedStatus{Status: replicaState{}.status(id), SentAt: at(0), UnfencedSince: at(-10)})
 	}
-	return modelState{fencedAt: -1, recheckedAt: -1, promotedAt: -1, queried: -1, leadership: l}
+	return modelState{fencedAt: -1, recheckedAt: -1, promotedAt: -1, queried: -1, tracker: l}
 }
 
 // with returns a copy of the state with a change applied.
 func (m modelState) with(change func(*modelState)) modelState {
-	l := *m.leadership
-	l.targets = make(map[rosemary.TargetID]*targetState, len(m.leadership.targets))
-	for id, s := range m.leadership.targets {
+	l := *m.tracker
+	l.targets = make(map[rosemary.TargetID]*targetState, len(m.tracker.targets))
+	for id, s := range m.tracker.targets {
 		copied := *s
 		l.targets[id] = &copied
 	}
-	m.leadership = &l
+	m.tracker = &l
 	change(&m)
 	return m
 }
@@ -107,7 +107,7 @@
 func (m modelState) key() string {
 	text := fmt.Sprint(m.now, m.fenced, m.fencedAt, m.recheckedAt, m.promotedAt, m.restarts, m.restarted, m.queried, m.queriedAt, m.answered, m.response)
 	for _, id := range modelReplicas {
-		s := m.leadership.targets[id]
+		s := m.tracker.targets[id]
 		text += fmt.Sprint(" ", s.seen, s.status.PausedTerm, s.status.Term, s.sentAt.UnixMilli(), s.unfencedSince.UnixMilli())
 	}
 	return text
@@ -140,9 +140,9 @@
 			if n.restarted[n.queried] {
 				// The request was sent on a new connection.
 				n.restarted[n.queried] = false
-				n.leadership.ObservePossibleRestart(modelReplicas[n.queried])
+				n.tracker.ObservePossibleRestart(modelReplicas[n.queried])
 			}
-			n.leadership.Observe(n.response.status(modelReplicas[n.queried]), at(n.queriedAt))
+			n.tracker.Observe(n.response.status(modelReplicas[n.queried]), at(n.queriedAt))
 			n.queried = -1
 		}))
 	}
@@ -182,7 +182,7 @@
 // violated reports whether the proxy relies on the primary after the promotion
 // has taken effect.
 func (m modelState) violated() bool {
-	return m.promoted() && m.leadership.IsPrimary("p", 1, at(m.now))
+	return m.promoted() && m.tracker.IsPrimary("p", 1, at(m.now))
 }
 
 // explore returns the number of states visited, and the first violation.
@@ -231,9 +231,9 @@
 	m := initialState()
 	m.fenced = [2]bool{true, true}
 	m.restart(1)
-	m.leadership.ObservePossibleRestart(modelReplicas[1])
+	m.tracker.ObservePossibleRestart(modelReplicas[1])
 	for _, sentAt := range []int{recheckedAt, promotedAt - 1} {
-		m.leadership.Observe(replicaState{}.status(modelReplicas[1]), at(sentAt))
+		m.tracker.Observe(replicaState{}.status(modelReplicas[1]), at(sentAt))
 	}
-	qt.Check(t, m.leadership.IsPrimary("p", 1, at(promotedAt)), qt.IsFalse)
+	qt.Check(t, m.tracker.IsPrimary("p", 1, at(promotedAt)), qt.IsFalse)
 }
--- a/pkg/roselog/writer.go
+++ b/pkg/roselog/writer.go
@@ -88,8 +88,8 @@
 	return w.droppedTotal
 }
 
-// Err formats an error for a log line: its message without the stack trace.
-func Err(err error) string {
+// ErrorMessage formats an error for a log line: its message without the stack trace.
+func ErrorMessage(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/pkg/rosemary/metadata_store.go
+++ b/pkg/rosemary/metadata_store.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ErrCompacted is returned by MetadataStore.Changes if the store no longer has
-// all changes after the requested revision. The caller has to list the keys
+// ErrCompacted is returned by MetadataStore.AwaitEvents if the store no longer
+// has all changes after the requested revision. The caller has to list the keys
 // again.
 var ErrCompacted = errors.New("the store has compacted the requested revision; list the keys again")
 
@@ -54,10 +54,10 @@
 	// List returns the keys with the prefix and the store's revision. With
 	// stale it may return data that is seconds old, which costs less.
 	List(ctx context.Context, prefix string, stale bool) ([]Item, int64, error)
-	// Changes waits up to wait for changes of keys with the prefix after a
+	// AwaitEvents waits up to wait for changes of keys with the prefix after a
 	// revision. It returns them and the revision to continue from. The
 	// error is ErrCompacted if the store no longer has these changes.
-	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]ItemEvent, int64, error)
+	AwaitEvents(ctx context.Context, prefix string, after int64, wait time.Duration) ([]ItemEvent, int64, error)
 	// Apply commits a change and returns its revision. The error is a
 	// trace.CompareFailed if a precondition isn't met, and a trace.NotFound
 	// if the lease of a write has expired.
--- a/pkg/roserelay/client.go
+++ b/pkg/roserelay/client.go
@@ -208,7 +208,7 @@
 	conn, _, err := websocket.Dial(ctx, "ws://"+l.address+Path, &websocket.DialOptions{HTTPClient: c.http})
 	cancel()
 	if err != nil {
-		klog.InfoS("home not reached", "home", home.Proxy, "err", roselog.Err(err))
+		klog.InfoS("home not reached", "home", home.Proxy, "err", roselog.ErrorMessage(err))
 		l.failedAt, l.err = time.Now(), trace.ConnectionProblem(err, "connecting to home proxy %s", home.Proxy)
 		l.cancel()
 		close(l.dialed)
--- a/pkg/roserelay/relay_test.go
+++ b/pkg/roserelay/relay_test.go
@@ -201,7 +201,7 @@
 func TestDrainRollsBackOpenTransactions(t *testing.T) {
 	runRelay(t, 10*time.Millisecond, func(c *qt.C, e *executor, _ *rosenet.Network, server *roserelay.Server, client *roserelay.Client) {
 		open, _, _ := client.Begin(context.Background(), home, task(rosemary.StatementWrite, "b1"))
-		server.SetDrain(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(time.Second), OpenTransactions: time.Now().Add(2 * time.Second)})
+		server.SetDrainDeadlines(rosecaller.DrainDeadlines{IdleSessions: time.Now().Add(time.Second), OpenTransactions: time.Now().Add(2 * time.Second)})
 		result, _ := client.Run(context.Background(), home, task(rosemary.StatementWrite, "w1"))
 		c.Check(result.Refusal.Kind, qt.Equals, rosemary.KindDraining)
 		c.Check(result.Refusal.Outcome, qt.Equals, rosemary.OutcomeNotRun)
--- a/pkg/roserelay/server.go
+++ b/pkg/roserelay/server.go
@@ -75,7 +75,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := websocket.Accept(w, r, nil)
 	if err != nil {
-		klog.InfoS("link of a proxy not accepted", "err", roselog.Err(err))
+		klog.InfoS("link of a proxy not accepted", "err", roselog.ErrorMessage(err))
 		return
 	}
 	conn.SetReadLimit(maxMessageBytes)
@@ -96,10 +96,10 @@
 	l.serve(ctx)
 }
 
-// SetDrain refuses tasks outside an open transaction from now on, and rolls
-// back the transactions of other proxies at deadlines.OpenTransactions. While
-// that is zero, neither is done.
-func (s *Server) SetDrain(deadlines rosecaller.DrainDeadlines) {
+// SetDrainDeadlines refuses tasks outside an open transaction from now on, and
+// rolls back the transactions of other proxies at deadlines.OpenTransactions.
+// While that is zero, neither is done.
+func (s *Server) SetDrainDeadlines(deadlines rosecaller.DrainDeadlines) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deadlines = deadlines
@@ -236,7 +236,7 @@
 
 func (l *serverLink) sendResult(ctx context.Context, result *rosewire.Result) {
 	if err := send(ctx, l.conn, rosewire.Message{Result: result}); err != nil {
-		klog.V(1).InfoS("result not sent", "number", result.Number, "err", roselog.Err(err))
+		klog.V(1).InfoS("result not sent", "number", result.Number, "err", roselog.ErrorMessage(err))
 	}
 }
 
--- a/pkg/roseroute/router.go
+++ b/pkg/roseroute/router.go
@@ -73,8 +73,8 @@
 	ForcePrimary bool
 }
 
-// Lease is a connection to the chosen target.
-type Lease struct {
+// ConnLease is a connection to the chosen target.
+type ConnLease struct {
 	Conn *rosepool.Conn
 	// Replica is set if the target isn't the primary.
 	Replica bool
@@ -85,7 +85,7 @@
 
 // Release returns the connection. singleStatement tells that the lease was held
 // for a single statement, so that its duration is a sample of the target's latency.
-func (l *Lease) Release(singleStatement bool) {
+func (l *ConnLease) Release(singleStatement bool) {
 	l.ticket.Release(singleStatement && !l.Conn.Broken())
 	l.pool.Release(l.Conn)
 }
@@ -95,7 +95,7 @@
 
 // Acquire waits for a connection to a target that may serve the request. If it
 // fails, nothing was sent. The error is a *rosemary.Refusal.
-func (r *Router) Acquire(ctx context.Context, request Request) (*Lease, error) {
+func (r *Router) Acquire(ctx context.Context, request Request) (*ConnLease, error) {
 	if r.waiting.Add(1) > maxWaiting {
 		r.waiting.Add(-1)
 		return nil, refusal(rosemary.KindOverloaded, "too many statements are waiting for a target", time.Second)
@@ -228,7 +228,7 @@
 
 // acquireFrom takes a ticket and a connection. It returns neither a lease nor a
 // refusal if the target has to be chosen again.
-func (r *Router) acquireFrom(ctx context.Context, choice rosegroup.TargetView, view rosegroup.View, request Request) (*Lease, error) {
+func (r *Router) acquireFrom(ctx context.Context, choice rosegroup.TargetView, view rosegroup.View, request Request) (*ConnLease, error) {
 	ticket, err := r.config.Queues[choice.ID].Acquire(ctx, request.Flow)
 	if err != nil {
 		return nil, err
@@ -245,7 +245,7 @@
 		pool.Release(conn)
 		return nil, nil
 	}
-	return &Lease{Conn: conn, Replica: replica, Zone: choice.Zone, pool: pool, ticket: ticket}, nil
+	return &ConnLease{Conn: conn, Replica: replica, Zone: choice.Zone, pool: pool, ticket: ticket}, nil
 }
 
 // stillValid checks the choice again after the waits for a ticket and a connection.
--- a/pkg/rosesupervisor/lock_manager.go
+++ b/pkg/rosesupervisor/lock_manager.go
@@ -200,7 +200,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := l.config.Store.RevokeLease(ctx, lease); err != nil {
-		klog.InfoS("lease not returned, it will expire", "lease", lease, "err", roselog.Err(err))
+		klog.InfoS("lease not returned, it will expire", "lease", lease, "err", roselog.ErrorMessage(err))
 	}
 }
 
@@ -301,7 +301,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.storeFailing {
-		klog.InfoS("store lost", "for", "lease", "lease", lease, "duties", len(l.held), "err", roselog.Err(err))
+		klog.InfoS("store lost", "for", "lease", "lease", lease, "duties", len(l.held), "err", roselog.ErrorMessage(err))
 	}
 	l.storeFailing = true
 }
@@ -466,7 +466,7 @@
 		Preconditions: []rosemary.Precondition{{Key: key, Revision: generation}},
 		Deletes:       []string{key},
 	})
-	klog.InfoS("duty handed over", "group", group, "generation", generation, "zone", zone, "err", roselog.Err(err))
+	klog.InfoS("duty handed over", "group", group, "generation", generation, "zone", zone, "err", roselog.ErrorMessage(err))
 }
 
 // claim claims a lock if its key is still at revision; zero stands for an absent
@@ -487,7 +487,7 @@
 		// A change that got no answer may have taken effect.
 		item, readErr := l.config.Store.Read(ctx, key)
 		if readErr != nil || string(item.Value) != string(value) || item.Lease != lease {
-			klog.V(1).InfoS("duty not claimed", "group", group, "err", roselog.Err(err))
+			klog.V(1).InfoS("duty not claimed", "group", group, "err", roselog.ErrorMessage(err))
 			return
 		}
 		generation = item.Revision
--- a/pkg/rosesupervisor/replace.go
+++ b/pkg/rosesupervisor/replace.go
@@ -92,9 +92,9 @@
 	// RevokePrimary asks all to stop using the primary of term. It returns
 	// those that have, and all that were asked.
 	RevokePrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID)
-	// Suspect tells all that the target has just failed to answer this proxy, so
-	// that they sample it at once.
-	Suspect(ctx context.Context, group string, target rosemary.TargetID)
+	// ReportSuspected tells all that the target has just failed to answer this
+	// proxy, so that they sample it at once.
+	ReportSuspected(ctx context.Context, group string, target rosemary.TargetID)
 	// ReportUnreachable tells all that this proxy can't reach the target.
 	ReportUnreachable(ctx context.Context, group string, target rosemary.TargetID)
 }
@@ -169,20 +169,20 @@
 // reportPrimary tells the other proxies, among them the holder of the failover
 // lock, that this one can't reach the group's primary.
 func (r *Replacer) reportPrimary(ctx context.Context, view rosefleet.View) {
-	if r.config.Voters == nil || !view.HasPrimaryView || view.PrimaryView.UnreachableFor == 0 {
+	if r.config.Voters == nil || !view.HasPrimaryTarget || view.PrimaryTarget.UnreachableFor == 0 {
 		r.suspicionSent = false
 		return
 	}
 	if !r.suspicionSent {
 		r.suspicionSent = true
-		r.config.Voters.Suspect(ctx, r.config.Group.Name(), view.Primary.Target)
+		r.config.Voters.ReportSuspected(ctx, r.config.Group.Name(), view.PrimaryLease.Target)
 	}
 	now := r.config.Clock.Now()
-	if view.PrimaryView.UnreachableFor < reportDelay || now.Sub(r.polledAt) < peerPollInterval {
+	if view.PrimaryTarget.UnreachableFor < reportDelay || now.Sub(r.polledAt) < peerPollInterval {
 		return
 	}
 	r.polledAt = now
-	r.config.Voters.ReportUnreachable(ctx, r.config.Group.Name(), view.Primary.Target)
+	r.config.Voters.ReportUnreachable(ctx, r.config.Group.Name(), view.PrimaryLease.Target)
 }
 
 // assess returns the action that the group requires, and whether the condition
@@ -197,7 +197,7 @@
 	if action != r.action {
 		r.action, r.actionSince = action, now
 	}
-	return action, now.Sub(r.actionSince) >= delay || view.PrimaryView.UnreachableFor >= delay && view.PrimaryView.UnreachableFor > 0
+	return action, now.Sub(r.actionSince) >= delay || view.PrimaryTarget.UnreachableFor >= delay && view.PrimaryTarget.UnreachableFor > 0
 }
 
 // step takes the action if it is due and the other proxies confirm it. If no
@@ -210,11 +210,11 @@
 	if !due || !r.confirmedByPeers(ctx, action, view) {
 		return
 	}
-	klog.InfoS("replacement begins", "group", r.config.Group.Name(), "need", action.String(), "primary", view.Primary.Target,
-		"term", view.Term, "failingFor", view.PrimaryView.UnreachableFor, "refused", view.PrimaryView.ConnectionRefused, "leaving", view.PrimaryView.Leaving)
+	klog.InfoS("replacement begins", "group", r.config.Group.Name(), "need", action.String(), "primary", view.PrimaryLease.Target,
+		"term", view.Term, "failingFor", view.PrimaryTarget.UnreachableFor, "refused", view.PrimaryTarget.ConnectionRefused, "leaving", view.PrimaryTarget.Leaving)
 	err := r.replace(ctx, action, view)
 	if err != nil {
-		klog.InfoS("replacement failed", "group", r.config.Group.Name(), "need", action.String(), "err", roselog.Err(err))
+		klog.InfoS("replacement failed", "group", r.config.Group.Name(), "need", action.String(), "err", roselog.ErrorMessage(err))
 		roseclock.Sleep(ctx, replaceRetryDelay)
 	}
 	r.action = ActionNone
@@ -223,7 +223,7 @@
 // unreachableForMany reports whether so many other proxies can't reach the
 // primary that it should be replaced, though it answers this one.
 func (r *Replacer) unreachableForMany(view rosefleet.View) bool {
-	reports := r.countReports(view.Primary.Target)
+	reports := r.countReports(view.PrimaryLease.Target)
 	return reports > 0 && float64(reports) >= unreachableShare*float64(r.config.ProxyCount())
 }
 
@@ -243,10 +243,10 @@
 	r.polledAt = now
 	pollCtx, cancel := context.WithTimeout(ctx, peerPollTimeout)
 	defer cancel()
-	replied, reachedBy, notReachedBy := r.config.Voters.PollReachability(pollCtx, r.config.Group.Name(), view.Primary.Target)
-	agreed := ReplacementAgreed(members, replied, reachedBy, notReachedBy, view.HasPrimaryView)
-	klog.InfoS("primary in doubt", "group", r.config.Group.Name(), "target", view.Primary.Target, "refused", view.PrimaryView.ConnectionRefused,
-		"failingFor", view.PrimaryView.UnreachableFor, "members", members, "replied", replied, "reachedBy", reachedBy, "missedBy", notReachedBy, "replace", agreed)
+	replied, reachedBy, notReachedBy := r.config.Voters.PollReachability(pollCtx, r.config.Group.Name(), view.PrimaryLease.Target)
+	agreed := ReplacementAgreed(members, replied, reachedBy, notReachedBy, view.HasPrimaryTarget)
+	klog.InfoS("primary in doubt", "group", r.config.Group.Name(), "target", view.PrimaryLease.Target, "refused", view.PrimaryTarget.ConnectionRefused,
+		"failingFor", view.PrimaryTarget.UnreachableFor, "members", members, "replied", replied, "reachedBy", reachedBy, "missedBy", notReachedBy, "replace", agreed)
 	return agreed
 }
 
@@ -268,14 +268,14 @@
 // AssessReplacement returns the action that the group requires, and how long the
 // condition for the action has to persist.
 func AssessReplacement(view rosefleet.View) (Action, time.Duration) {
-	primary := view.PrimaryView
+	primary := view.PrimaryTarget
 	switch {
 	case view.Term == 0 || len(view.Targets) < 2:
 		return ActionNone, 0
-	case (!view.HasPrimary || !view.HasPrimaryView) && anyStatusUnknown(view):
+	case (!view.HasPrimaryLease || !view.HasPrimaryTarget) && anyStatusUnknown(view):
 		// The primary may be a target about which nothing is known yet.
 		return ActionNone, 0
-	case !view.HasPrimary || !view.HasPrimaryView:
+	case !view.HasPrimaryLease || !view.HasPrimaryTarget:
 		return ActionFailover, unknownPrimaryDelay
 	case primary.UnreachableFor > 0 && primary.ConnectionRefused:
 		return ActionFailover, connRefusedDelay
@@ -315,15 +315,15 @@
 // of earlier terms.
 func (r *Replacer) repairTargets(ctx context.Context, view rosefleet.View) {
 	for _, t := range view.Targets {
-		if t.SeenAt.IsZero() || t.UnreachableFor > 0 || t.ID == view.Primary.Target {
+		if t.SeenAt.IsZero() || t.UnreachableFor > 0 || t.ID == view.PrimaryLease.Target {
 			continue
 		}
 		switch {
-		case t.Status.PausedTerm > 0 && t.Status.PausedTerm <= view.Primary.Term:
+		case t.Status.PausedTerm > 0 && t.Status.PausedTerm <= view.PrimaryLease.Term:
 			r.controlTarget(ctx, t.ID, "resume", func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) { return c.Resume(deadline) })
-		case t.Status.Role == rosemary.RolePrimary && t.Status.Term < view.Primary.Term:
+		case t.Status.Role == rosemary.RolePrimary && t.Status.Term < view.PrimaryLease.Term:
 			r.controlTarget(ctx, t.ID, "step down", func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
-				return c.StepDown(deadline, view.Primary.Term)
+				return c.StepDown(deadline, view.PrimaryLease.Term)
 			})
 		}
 	}
@@ -332,7 +332,7 @@
 func (r *Replacer) controlTarget(ctx context.Context, id rosemary.TargetID, order string, call func(rosemary.Conn, time.Time) (rosemary.Status, error)) (rosemary.Status, error) {
 	status, err := r.config.Group.Control(ctx, id, controlTimeout, call)
 	klog.InfoS("order given", "group", r.config.Group.Name(), "target", id, "order", order,
-		"role", status.Role, "term", status.Term, "held", status.PausedTerm, "position", status.Position.String(), "err", roselog.Err(err))
+		"role", status.Role, "term", status.Term, "held", status.PausedTerm, "position", status.Position.String(), "err", roselog.ErrorMessage(err))
 	return status, err
 }
 
@@ -360,7 +360,7 @@
 		return ctx.Err()
 	} else if r.answersAgain(view) {
 		r.unfence(ctx, view, fenced)
-		return trace.CompareFailed("primary %s answers again, replacement is given up", view.Primary.Target)
+		return trace.CompareFailed("primary %s answers again, replacement is given up", view.PrimaryLease.Target)
 	} else if err := r.verifyFences(ctx, fenced); err != nil {
 		return err
 	}
@@ -380,7 +380,7 @@
 // connections, as a proxy unknown to this one then can't use the primary either.
 func (r *Replacer) awaitLeaseExpiry(ctx context.Context, view rosefleet.View) bool {
 	fencedAt := time.Now()
-	if view.HasPrimaryView && view.PrimaryView.ConnectionRefused && r.config.Voters != nil && r.revokeOnAllProxies(ctx, view.Term) {
+	if view.HasPrimaryTarget && view.PrimaryTarget.ConnectionRefused && r.config.Voters != nil && r.revokeOnAllProxies(ctx, view.Term) {
 		return true
 	}
 	return roseclock.Sleep(ctx, time.Until(fencedAt.Add(rosegroup.PrimaryLeaseTime+clockRateMargin)))
@@ -390,8 +390,8 @@
 // that it doesn't have to be replaced.
 func (r *Replacer) answersAgain(view rosefleet.View) bool {
 	current := r.config.Group.View()
-	return view.HasPrimaryView && view.PrimaryView.UnreachableFor > 0 && !view.PrimaryView.ConnectionRefused &&
-		current.HasPrimaryView && current.Primary.Target == view.Primary.Target && current.PrimaryView.UnreachableFor == 0
+	return view.HasPrimaryTarget && view.PrimaryTarget.UnreachableFor > 0 && !view.PrimaryTarget.ConnectionRefused &&
+		current.HasPrimaryTarget && current.PrimaryLease.Target == view.PrimaryLease.Target && current.PrimaryTarget.UnreachableFor == 0
 }
 
 // revokeOnAllProxies asks every proxy to stop using the primary of term, and
@@ -425,10 +425,10 @@
 // demote has the current primary step down: always for a switchover, and
 // otherwise only if it answers.
 func (r *Replacer) demote(ctx context.Context, view rosefleet.View, action Action, term uint64) (bool, rosemary.Status) {
-	if !view.HasPrimaryView || action != ActionSwitchover && view.PrimaryView.UnreachableFor > 0 {
+	if !view.HasPrimaryTarget || action != ActionSwitchover && view.PrimaryTarget.UnreachableFor > 0 {
 		return false, rosemary.Status{}
 	}
-	status, err := r.controlTarget(ctx, view.Primary.Target, "step down", func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
+	status, err := r.controlTarget(ctx, view.PrimaryLease.Target, "step down", func(c rosemary.Conn, deadline time.Time) (rosemary.Status, error) {
 		return c.StepDown(deadline, term)
 	})
 	return err == nil && status.Role == rosemary.RoleReplica, status
@@ -443,7 +443,7 @@
 	answers := make([]rosemary.Status, len(view.Targets))
 	errs := make([]error, len(view.Targets))
 	for i, t := range view.Targets {
-		if t.ID == view.Primary.Target && view.HasPrimaryView {
+		if t.ID == view.PrimaryLease.Target && view.HasPrimaryTarget {
 			continue
 		}
 		tasks.Go(func() error {
@@ -458,7 +458,7 @@
 	_ = tasks.Wait()
 	var fenced []rosemary.Status
 	for i, t := range view.Targets {
-		if t.ID == view.Primary.Target && view.HasPrimaryView {
+		if t.ID == view.PrimaryLease.Target && view.HasPrimaryTarget {
 			continue
 		}
 		usable := errs[i] == nil && (steppedDown || answers[i].PausedTerm > 0)
@@ -581,8 +581,8 @@
 	deadline := time.Now().Add(takeoverTimeout)
 	for time.Now().Before(deadline) && roseclock.Sleep(ctx, replacerInterval) {
 		view := r.config.Group.View()
-		if view.HasPrimary && view.Primary.Target == successor {
-			klog.InfoS("replacement done", "group", r.config.Group.Name(), "primary", successor, "term", view.Primary.Term)
+		if view.HasPrimaryLease && view.PrimaryLease.Target == successor {
+			klog.InfoS("replacement done", "group", r.config.Group.Name(), "primary", successor, "term", view.PrimaryLease.Term)
 			return nil
 		}
 	}
@@ -600,6 +600,6 @@
 	defer cancel()
 	err := r.config.Promoter.Promote(ctx, r.config.Group.Name(), target, string(r.config.Self), generation)
 	klog.InfoS("promotion ordered", "group", r.config.Group.Name(), "target", target, "generation", generation,
-		"dutyUntil", until.Sub(r.config.Clock.Now()), "err", roselog.Err(err))
+		"dutyUntil", until.Sub(r.config.Clock.Now()), "err", roselog.ErrorMessage(err))
 	return err
 }
--- a/pkg/rosesupervisor/replace_test.go
+++ b/pkg/rosesupervisor/replace_test.go
@@ -19,8 +19,8 @@
 // primary is a, with change applied.
 func viewWithPrimaryA(change func(v *rosefleet.View)) rosefleet.View {
 	v := rosefleet.View{
-		Term: 1, HasPrimary: true, HasPrimaryView: true, PrimaryValid: true, Primary: rosegroup.PrimaryLease{Target: "a", Term: 1},
-		PrimaryView: observedTarget("a"), Targets: []rosefleet.TargetView{observedTarget("a"), observedTarget("b"), observedTarget("c")},
+		Term: 1, HasPrimaryLease: true, HasPrimaryTarget: true, PrimaryValid: true, PrimaryLease: rosegroup.PrimaryLease{Target: "a", Term: 1},
+		PrimaryTarget: observedTarget("a"), Targets: []rosefleet.TargetView{observedTarget("a"), observedTarget("b"), observedTarget("c")},
 	}
 	change(&v)
 	return v
@@ -33,12 +33,12 @@
 		want   Action
 	}{
 		{"healthy", func(*rosefleet.View) {}, ActionNone},
-		{"primary refuses connections", func(v *rosefleet.View) { v.PrimaryView.UnreachableFor, v.PrimaryView.ConnectionRefused = 1, true }, ActionFailover},
-		{"primary unresponsive", func(v *rosefleet.View) { v.PrimaryView.UnreachableFor = 1 }, ActionFailover},
-		{"primary leaving", func(v *rosefleet.View) { v.PrimaryView.Leaving = true }, ActionSwitchover},
-		{"without a primary", func(v *rosefleet.View) { v.HasPrimary, v.HasPrimaryView = false, false }, ActionFailover},
+		{"primary refuses connections", func(v *rosefleet.View) { v.PrimaryTarget.UnreachableFor, v.PrimaryTarget.ConnectionRefused = 1, true }, ActionFailover},
+		{"primary unresponsive", func(v *rosefleet.View) { v.PrimaryTarget.UnreachableFor = 1 }, ActionFailover},
+		{"primary leaving", func(v *rosefleet.View) { v.PrimaryTarget.Leaving = true }, ActionSwitchover},
+		{"without a primary", func(v *rosefleet.View) { v.HasPrimaryLease, v.HasPrimaryTarget = false, false }, ActionFailover},
 		{"without a primary, a target's status unknown", func(v *rosefleet.View) {
-			v.HasPrimary, v.HasPrimaryView = false, false
+			v.HasPrimaryLease, v.HasPrimaryTarget = false, false
 			v.Targets[1].SeenAt = time.Time{}
 		}, ActionNone},
 		{"incomplete promotion", func(v *rosefleet.View) {
--- a/pkg/rosesupervisor/supervisor.go
+++ b/pkg/rosesupervisor/supervisor.go
@@ -61,8 +61,8 @@
 	actionSince time.Time
 }
 
-// New returns a supervisor; Run starts it.
-func New(config Config) *Supervisor {
+// NewSupervisor returns a supervisor; Run starts it.
+func NewSupervisor(config Config) *Supervisor {
 	if config.OnPromotion == nil {
 		config.OnPromotion = func(time.Duration) {}
 	}
