--- a/pkg/rosemary/interfaces.go
+++ b/pkg/rosemary/interfaces.go
@@ -34,10 +34,10 @@
 	Revision int64
 }
 
-// Store is the part of etcd's key-value API that works on single keys. A failed
-// call may still have taken effect, so callers have to read the key back. The
-// error is a trace.ConnectionProblem if the store can't be reached, and a
-// trace.NotFound if the key doesn't exist.
+// Store is the part of etcd's key-value API that works on single keys; bundles
+// and supervisors use it. A failed call may still have taken effect, so callers
+// have to read the key back. The error is a trace.ConnectionProblem if the store
+// can't be reached, and a trace.NotFound if the key doesn't exist.
 type Store interface {
 	// Get returns the latest value of key.
 	Get(ctx context.Context, key string) (Entry, error)
--- a/pkg/rosemary/metadata_store.go
+++ b/pkg/rosemary/metadata_store.go
@@ -45,9 +45,9 @@
 }
 
 // MetadataStore is the platform's metadata store: a key-value store with prefix
-// listings, leases and transactions. A failed call may still have taken effect,
-// so callers have to read the keys back. The error is a trace.ConnectionProblem if the store
-// can't be reached or rejects the call.
+// listings, leases and transactions; lock managers use it. A failed call may
+// still have taken effect, so callers have to read the keys back. The error is a
+// trace.ConnectionProblem if the store can't be reached or rejects the call.
 type MetadataStore interface {
 	// Read returns the latest value of key, or trace.NotFound.
 	Read(ctx context.Context, key string) (Item, error)
--- a/pkg/rosemary/refusal.go
+++ b/pkg/rosemary/refusal.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Outcome tells a caller whether a refused or failed request took effect.
+// Outcome tells a client whether a refused or failed request took effect.
 type Outcome string
 
 // Outcomes of a refused or failed request.
@@ -40,7 +40,7 @@
 	KindUnknownStatement RefusalKind = "unknown-statement"
 )
 
-// sqlStates maps kinds of refusal to the SQLSTATE codes sent to callers.
+// sqlStates maps kinds of refusal to the SQLSTATE codes sent to clients.
 var sqlStates = map[RefusalKind]string{
 	KindOverloaded:       "53000",
 	KindDeadline:         "57014",
@@ -61,12 +61,12 @@
 	KindUnknownStatement: "26000",
 }
 
-// Refusal is the error that the proxy returns to a caller.
+// Refusal is the error that the proxy returns to a client.
 type Refusal struct {
 	Kind    RefusalKind
 	Outcome Outcome
 	Message string
-	// Remedy tells the caller what to do next.
+	// Remedy tells the client what to do next.
 	Remedy string
 	// RetryAfter is the suggested delay before a retry; zero for no
 	// suggestion.
--- a/pkg/rosemary/statement.go
+++ b/pkg/rosemary/statement.go
@@ -42,7 +42,7 @@
 
 // Statement is one request of a session, independent of the protocol.
 type Statement struct {
-	// ID identifies the caller's request; empty for statements that the
+	// ID identifies the client's request; empty for statements that the
 	// proxy issues itself.
 	ID   string
 	Kind StatementKind
@@ -187,7 +187,7 @@
 	Database string
 	Group    string
 	Class    Class
-	// LatencyObjective is the response time that callers expect.
+	// LatencyObjective is the response time that clients expect.
 	LatencyObjective time.Duration
 	// Priority orders queued requests; 0 is the highest.
 	Priority int
