--- a/pkg/rosewire/wire.go
+++ b/pkg/rosewire/wire.go
@@ -256,7 +256,7 @@
 	// Outcome tells whether the statement ran.
 	Outcome string `cbor:"Outcome"`
 
-	// Remedy tells the caller what to do next.
+	// Remedy tells the client what to do next.
 	Remedy string `cbor:"Remedy"`
 
 	// RetryAfterMs is the suggested delay before a retry; zero for no suggestion.
@@ -326,7 +326,7 @@
 
 // Statement is one request of a session.
 type Statement struct {
-	// ID is the caller's identifier of the request.
+	// ID is the client's identifier of the request.
 	ID *string `cbor:"ID,omitempty"`
 
 	// Kind is a rosemary.StatementKind.
