--- a/pkg/rosebundle/content.go
+++ b/pkg/rosebundle/content.go
@@ -42,6 +42,7 @@
 }
 
 // Class configures a class of statements; rosemary.Class explains the fields.
+// Deadline is the Timeout there.
 type Class struct {
 	Name       string
 	ReadOnly   bool
