--- a/pkg/rosecaller/session.go
+++ b/pkg/rosecaller/session.go
@@ -33,8 +33,8 @@
 type Observer interface {
 	// Served reports a successful answer of a target and how long it took.
 	Served(task Task, result Result, took time.Duration)
-	// Refused reports a refusal, the last target that was used, and how long
-	// the request took.
+	// Refused reports a refusal, the Statement.ID of the request, the last
+	// target that was used, and how long the request took.
 	Refused(database, id string, refusal *rosemary.Refusal, target rosemary.TargetID, took time.Duration)
 }
 
