--- a/pkg/rosefleet/group.go
+++ b/pkg/rosefleet/group.go
@@ -1,6 +1,7 @@
 // Package rosefleet manages the targets of a group: it samples their statuses to
 // find the primary, pools connections to them, and chooses which one runs a
-// statement.
+// statement. It serves groups whose targets the platform promotes; package
+// roseroute serves those with a rosegroup.Monitor.
 package rosefleet
 
 import (
@@ -101,14 +102,15 @@
 
 // ConnLimits limits the connections to one target.
 type ConnLimits struct {
-	// Share is this proxy's share of the connections that a target accepts.
+	// Share is this proxy's share of the connections that a target accepts. Idle
+	// connections beyond half of it are closed.
 	Share int
-	// Max is the number that this proxy may open while other proxies don't use
-	// their share.
+	// Max is the maximum number of open connections, at least Share. A control
+	// call may open one more.
 	Max int
 }
 
-// Update replaces the targets of the group.
+// Update replaces the targets of the group and the connection limits of each.
 func (g *Group) Update(registrations []rosemary.TargetRegistration, limits ConnLimits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -369,11 +371,14 @@
 
 // View is a snapshot of a group.
 type View struct {
-	PrimaryLease     rosegroup.PrimaryLease
-	HasPrimaryLease  bool
-	PrimaryValid     bool
-	Term             uint64
-	Targets          []TargetView
+	// PrimaryLease is the lease of the newest primary, valid if HasPrimaryLease.
+	PrimaryLease    rosegroup.PrimaryLease
+	HasPrimaryLease bool
+	// PrimaryValid is set if this proxy may rely on the primary now.
+	PrimaryValid bool
+	Term         uint64
+	Targets      []TargetView
+	// PrimaryTarget is the primary's entry in Targets, valid if HasPrimaryTarget.
 	PrimaryTarget    TargetView
 	HasPrimaryTarget bool
 	// PrimarySince is when this proxy learned of the primary.
