--- a/pkg/rosegroup/observations.go
+++ b/pkg/rosegroup/observations.go
@@ -1,6 +1,7 @@
 // Package rosegroup monitors one database group: which target is the primary,
 // what a quorum has confirmed, and how old each replica's data is.
 // Observations is plain state; Monitor adds the goroutines that collect it.
+// PrimaryTracker is the state for a group whose targets the platform promotes.
 package rosegroup
 
 import (
