--- a/pkg/roserelay/client.go
+++ b/pkg/roserelay/client.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// Path is the HTTP path at which proxies accept WebSocket connections.
+	// Path is the HTTP path at which a proxy serves its Server.
 	Path = "/tasks"
 	// dialTimeout bounds the time to connect to a home proxy.
 	dialTimeout = 400 * time.Millisecond
@@ -29,10 +29,10 @@
 	resultMargin = 100 * time.Millisecond
 )
 
-// Delivery tells whether an order was sent and answered.
+// Delivery tells whether a task was sent to a home proxy and answered.
 type Delivery int
 
-// Deliveries of an order.
+// Deliveries of a task.
 const (
 	// Answered means that the result was received.
 	Answered Delivery = iota
@@ -79,7 +79,7 @@
 	lastSentAt       time.Time
 }
 
-// NewClient returns a client; Close ends its links.
+// NewClient returns a client, which connects to home proxies on demand.
 func NewClient(config ClientConfig) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	transport := &http.Transport{
@@ -94,7 +94,7 @@
 	}
 }
 
-// Close ends all links.
+// Close closes the connections to home proxies.
 func (c *Client) Close() { c.cancel() }
 
 // Run runs a statement outside a transaction on a home proxy.
--- a/pkg/roserelay/server.go
+++ b/pkg/roserelay/server.go
@@ -65,13 +65,14 @@
 	rolledBack bool
 }
 
-// NewServer returns a server; Close ends its links.
+// NewServer returns a server without connections.
 func NewServer(config ServerConfig) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{config: config, context: ctx, cancel: cancel, links: make(map[*serverLink]struct{})}
 }
 
-// ServeHTTP accepts a link and serves it until it ends.
+// ServeHTTP accepts another proxy's WebSocket connection and serves it until it
+// ends.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := websocket.Accept(w, r, nil)
 	if err != nil {
@@ -179,7 +180,7 @@
 	return t.rolledBack
 }
 
-// Close ends every link.
+// Close closes the connections of other proxies.
 func (s *Server) Close() { s.cancel() }
 
 // serve handles the orders of a link until it ends.
