--- a/pkg/roseroute/router.go
+++ b/pkg/roseroute/router.go
@@ -1,6 +1,8 @@
 // Package roseroute chooses the target of each statement: the primary for writes
 // and, for reads of a class that allows it, a replica that has reached the
-// session's minimum position and whose data is recent enough.
+// session's minimum position and whose data is recent enough. It serves groups
+// with a rosegroup.Monitor; package rosefleet serves those whose targets the
+// platform promotes.
 package roseroute
 
 import (
