--- a/pkg/rosesupervisor/replace.go
+++ b/pkg/rosesupervisor/replace.go
@@ -63,7 +63,7 @@
 	reportLifetime = 1500 * time.Millisecond
 	// unreachableShare is the share of the proxies that must be unable to reach a
 	// primary for it to be replaced although others reach it. At a smaller share
-	// the interruption by a replacement costs callers more than the partition.
+	// the interruption by a replacement costs clients more than the partition.
 	unreachableShare = 1.0 / 3
 	// replacerInterval is the polling interval of a Replacer.
 	replacerInterval = 25 * time.Millisecond
