--- a/pkg/rosegroup/leadership.go
+++ b/pkg/rosegroup/leadership.go
@@ -64,27 +64,27 @@
 
 // SetTargets replaces the targets of the group, and keeps the state of those
 // that stay.
-func (l *PrimaryTracker) SetTargets(ids []rosemary.TargetID) {
+func (t *PrimaryTracker) SetTargets(ids []rosemary.TargetID) {
 	targets := make(map[rosemary.TargetID]*targetState, len(ids))
 	for _, id := range ids {
-		if s := l.targets[id]; s != nil {
+		if s := t.targets[id]; s != nil {
 			targets[id] = s
 		} else {
 			targets[id] = &targetState{}
 		}
 	}
-	l.targets = targets
+	t.targets = targets
 }
 
 // Observe records a status that was requested at sentAt.
-func (l *PrimaryTracker) Observe(status rosemary.Status, sentAt time.Time) {
-	s := l.targets[status.Target]
+func (t *PrimaryTracker) Observe(status rosemary.Status, sentAt time.Time) {
+	s := t.targets[status.Target]
 	if s == nil || s.seen && sentAt.Before(s.sentAt) {
 		return
 	}
 	fencedTerm := s.fencedTerm()
 	s.status, s.sentAt, s.seen = status, sentAt, true
-	l.term = max(l.term, status.Term, status.Position.LogTerm)
+	t.term = max(t.term, status.Term, status.Position.LogTerm)
 	switch {
 	case !s.unfenced():
 		s.unfencedSince = time.Time{}
@@ -105,9 +105,9 @@
 }
 
 // RecentStatuses returns the statuses requested at or after since.
-func (l *PrimaryTracker) RecentStatuses(since time.Time) []SharedStatus {
+func (t *PrimaryTracker) RecentStatuses(since time.Time) []SharedStatus {
 	var shared []SharedStatus
-	for _, s := range l.targets {
+	for _, s := range t.targets {
 		if s.seen && !s.sentAt.Before(since) {
 			shared = append(shared, SharedStatus{s.status, s.sentAt, s.unfencedSince})
 		}
@@ -118,12 +118,12 @@
 // ObserveShared records a status that another proxy has requested. If the two
 // proxies differ on since when the target is unfenced, the later time counts:
 // one of them may have noticed a restart.
-func (l *PrimaryTracker) ObserveShared(shared SharedStatus) {
-	s := l.targets[shared.Status.Target]
+func (t *PrimaryTracker) ObserveShared(shared SharedStatus) {
+	s := t.targets[shared.Status.Target]
 	if s == nil || s.seen && shared.SentAt.Before(s.sentAt) {
 		return
 	}
-	l.Observe(shared.Status, shared.SentAt)
+	t.Observe(shared.Status, shared.SentAt)
 	if !s.unfenced() || shared.UnfencedSince.IsZero() {
 		return
 	}
@@ -149,20 +149,20 @@
 
 // ObserveNotPrimary records that a target refused work because it isn't the
 // primary.
-func (l *PrimaryTracker) ObserveNotPrimary(id rosemary.TargetID) {
-	if s := l.targets[id]; s != nil {
+func (t *PrimaryTracker) ObserveNotPrimary(id rosemary.TargetID) {
+	if s := t.targets[id]; s != nil {
 		s.status.Role = rosemary.RoleReplica
 	}
 }
 
 // RevokePrimary ends the lease on the primaries of term and of earlier terms,
 // because a replacement is under way.
-func (l *PrimaryTracker) RevokePrimary(term uint64) { l.revokedTerm = max(l.revokedTerm, term) }
+func (t *PrimaryTracker) RevokePrimary(term uint64) { t.revokedTerm = max(t.revokedTerm, term) }
 
 // ObservePossibleRestart records that a target may have restarted, which would
 // have ended its fence.
-func (l *PrimaryTracker) ObservePossibleRestart(id rosemary.TargetID) {
-	if s := l.targets[id]; s != nil {
+func (t *PrimaryTracker) ObservePossibleRestart(id rosemary.TargetID) {
+	if s := t.targets[id]; s != nil {
 		s.unfencedSince = time.Time{}
 		s.seen = false
 	}
@@ -178,14 +178,14 @@
 
 // Primary returns the primary of the newest term with its lease, which may have
 // ended. It reports false when no primary is known.
-func (l *PrimaryTracker) Primary() (PrimaryLease, bool) {
-	for id, s := range l.targets {
-		if s.status.Role != rosemary.RolePrimary || s.status.Term != l.term || l.term == 0 {
+func (t *PrimaryTracker) Primary() (PrimaryLease, bool) {
+	for id, s := range t.targets {
+		if s.status.Role != rosemary.RolePrimary || s.status.Term != t.term || t.term == 0 {
 			continue
 		}
-		lease := PrimaryLease{Target: id, Term: l.term}
-		if l.term > l.revokedTerm {
-			lease.ValidUntil = l.leaseEnd(id)
+		lease := PrimaryLease{Target: id, Term: t.term}
+		if t.term > t.revokedTerm {
+			lease.ValidUntil = t.leaseEnd(id)
 		}
 		return lease, true
 	}
@@ -195,15 +195,15 @@
 // leaseEnd returns when the lease on primary ends. The lease starts at the newest
 // status of a replica that has been unfenced for minUnfencedTime or, if all
 // replicas are unfenced and that is later, at the oldest of their statuses.
-func (l *PrimaryTracker) leaseEnd(primary rosemary.TargetID) time.Time {
+func (t *PrimaryTracker) leaseEnd(primary rosemary.TargetID) time.Time {
 	var provenAt, oldest time.Time
 	replicas, unfenced := 0, 0
-	for id, s := range l.targets {
+	for id, s := range t.targets {
 		if id == primary {
 			continue
 		}
 		replicas++
-		if !s.unfenced() || s.unfencedSince.IsZero() || s.status.Term > l.term {
+		if !s.unfenced() || s.unfencedSince.IsZero() || s.status.Term > t.term {
 			continue
 		}
 		unfenced++
@@ -216,7 +216,7 @@
 	}
 	if replicas == 0 {
 		// There is no other target to promote.
-		return l.targets[primary].sentAt.Add(PrimaryLeaseTime)
+		return t.targets[primary].sentAt.Add(PrimaryLeaseTime)
 	}
 	if unfenced == replicas && oldest.After(provenAt) {
 		provenAt = oldest
@@ -229,33 +229,33 @@
 
 // IsPrimary reports whether the target is certain to be the primary of term at
 // now.
-func (l *PrimaryTracker) IsPrimary(id rosemary.TargetID, term uint64, now time.Time) bool {
-	lease, known := l.Primary()
+func (t *PrimaryTracker) IsPrimary(id rosemary.TargetID, term uint64, now time.Time) bool {
+	lease, known := t.Primary()
 	return known && lease.Target == id && lease.Term == term && now.Before(lease.ValidUntil)
 }
 
 // ObservePosition records a position that the target reported in response to a
 // request sent at sentAt, if it is certain to be the primary of term at now.
-func (l *PrimaryTracker) ObservePosition(id rosemary.TargetID, term uint64, position rosemary.Position, sentAt, now time.Time) {
-	if position.IsZero() || !l.IsPrimary(id, term, now) {
+func (t *PrimaryTracker) ObservePosition(id rosemary.TargetID, term uint64, position rosemary.Position, sentAt, now time.Time) {
+	if position.IsZero() || !t.IsPrimary(id, term, now) {
 		return
 	}
-	size := len(l.positions)
-	if size > 0 && sentAt.Sub(l.positions[size-1].at) < minPositionInterval {
+	size := len(t.positions)
+	if size > 0 && sentAt.Sub(t.positions[size-1].at) < minPositionInterval {
 		return
 	}
-	l.positions = append(l.positions, timedPosition{at: sentAt, position: position})
+	t.positions = append(t.positions, timedPosition{at: sentAt, position: position})
 	expired := 0
-	for expired < len(l.positions) && now.Sub(l.positions[expired].at) > positionRetention {
+	for expired < len(t.positions) && now.Sub(t.positions[expired].at) > positionRetention {
 		expired++
 	}
-	l.positions = l.positions[expired:]
+	t.positions = t.positions[expired:]
 }
 
 // MinPosition returns the lowest known position that includes every commit
 // acknowledged before since. It reports false when none is known.
-func (l *PrimaryTracker) MinPosition(since time.Time) (rosemary.Position, bool) {
-	for _, p := range l.positions {
+func (t *PrimaryTracker) MinPosition(since time.Time) (rosemary.Position, bool) {
+	for _, p := range t.positions {
 		if !p.at.Before(since) {
 			return p.position, true
 		}
@@ -265,28 +265,28 @@
 
 // ReachedAt returns when the primary was first known to have reached position;
 // zero if it isn't known to have.
-func (l *PrimaryTracker) ReachedAt(position rosemary.Position) time.Time {
-	i := sort.Search(len(l.positions), func(n int) bool { return l.positions[n].position.AtLeast(position) })
-	if i == len(l.positions) {
+func (t *PrimaryTracker) ReachedAt(position rosemary.Position) time.Time {
+	i := sort.Search(len(t.positions), func(n int) bool { return t.positions[n].position.AtLeast(position) })
+	if i == len(t.positions) {
 		return time.Time{}
 	}
-	return l.positions[i].at
+	return t.positions[i].at
 }
 
 // Lag returns how far behind the primary a replica was that had applied
 // position at the given time.
-func (l *PrimaryTracker) Lag(position rosemary.Position, at time.Time) time.Duration {
-	next := sort.Search(len(l.positions), func(n int) bool { return l.positions[n].position.Compare(position) > 0 })
-	if next == len(l.positions) {
+func (t *PrimaryTracker) Lag(position rosemary.Position, at time.Time) time.Duration {
+	next := sort.Search(len(t.positions), func(n int) bool { return t.positions[n].position.Compare(position) > 0 })
+	if next == len(t.positions) {
 		return 0
 	}
-	return max(at.Sub(l.positions[next].at), 0)
+	return max(at.Sub(t.positions[next].at), 0)
 }
 
 // Status returns the newest status of a target, when it was requested, and
 // whether there is one.
-func (l *PrimaryTracker) Status(id rosemary.TargetID) (rosemary.Status, time.Time, bool) {
-	s := l.targets[id]
+func (t *PrimaryTracker) Status(id rosemary.TargetID) (rosemary.Status, time.Time, bool) {
+	s := t.targets[id]
 	if s == nil || !s.seen {
 		return rosemary.Status{}, time.Time{}, false
 	}
@@ -294,4 +294,4 @@
 }
 
 // Term returns the newest term seen.
-func (l *PrimaryTracker) Term() uint64 { return l.term }
+func (t *PrimaryTracker) Term() uint64 { return t.term }
