--- a/internal/rosenet/network.go
+++ b/internal/rosenet/network.go
@@ -183,11 +183,11 @@
 	}
 	// The TCP handshake takes one round trip.
 	if !roseclock.Sleep(ctx, 2*n.config.Delay(d.from, to)) {
-		return nil, trace.ConnectionProblem(ctx.Err(), "dial %s", address)
+		return nil, trace.ConnectionProblem(ctx.Err(), "can't connect to %s", address)
 	}
 	listenerConn, err := n.dialListener(ctx, address)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "dial %s", address)
+		return nil, trace.ConnectionProblem(err, "can't connect to %s", address)
 	}
 	return n.newStream(d.from, to, listenerConn), nil
 }
