--- a/internal/rosetarget/target.go
+++ b/internal/rosetarget/target.go
@@ -1,4 +1,4 @@
-// Package rosetarget emulates a database group for the demo, the load tool and
+// Package rosetarget simulates a database group for the demo, the load tool and
 // the tests: in-memory tables behind PostgreSQL's protocol, with terms, log
 // positions, asynchronous replication, a connection limit and slots. It supports
 // only the SQL that these send.
@@ -37,7 +37,7 @@
 	Network *rosenet.Network
 }
 
-// Target is one emulated database server.
+// Target is one simulated database server.
 type Target struct {
 	config Config
 	group  *Group
