--- a/internal/rosekv/server.go
+++ b/internal/rosekv/server.go
@@ -1,6 +1,6 @@
-// Package rosekv implements a fake of two of the platform's services: the
-// key-value store, over the JSON gateway protocol of etcd, and the list of VMs. It
-// can be made unresponsive or slow, drop responses, and serve stale reads.
+// Package rosekv simulates two of the platform's services: the key-value store,
+// over the JSON gateway protocol of etcd, and the list of VMs. It can be made
+// unresponsive or slow, drop responses, and serve stale reads.
 package rosekv
 
 import (
@@ -21,7 +21,7 @@
 // alive.
 const progressInterval = 5 * time.Second
 
-// Server is the fake platform. Its methods may be called concurrently.
+// Server is the simulated platform. Its methods may be called concurrently.
 type Server struct {
 	http *http.Server
 
