--- a/internal/rosestack/bench_test.go
+++ b/internal/rosestack/bench_test.go
@@ -34,7 +34,7 @@
 const benchRead = "SELECT id, version FROM licences WHERE id = 7 /*class='lookup'*/"
 
 // BenchmarkStatements reports the lookups per second that one proxy serves to
-// about 64 callers. Callers and targets share the process.
+// about 64 clients. Clients and targets share the process.
 func BenchmarkStatements(b *testing.B) {
 	c := qt.New(b)
 	stack, err := rosestack.Start(context.Background(), rosestack.Config{Deployment: fastDeployment(c)})
@@ -44,7 +44,7 @@
 	runLookups(b, c, stack)
 }
 
-// runLookups runs lookups on the first proxy from about 64 callers, in a closed
+// runLookups runs lookups on the first proxy from about 64 clients, in a closed
 // loop. Their exact number is a multiple of GOMAXPROCS.
 func runLookups(b *testing.B, c *qt.C, stack *rosestack.Stack) {
 	b.SetParallelism(64 / runtime.GOMAXPROCS(0))
@@ -62,7 +62,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "statements/s")
 }
 
-// BenchmarkSkewedDemand reports the lookups per second of about 64 callers that
+// BenchmarkSkewedDemand reports the lookups per second of about 64 clients that
 // are all connected to one of six proxies, with connection loans between proxies
 // and with an even split.
 func BenchmarkSkewedDemand(b *testing.B) {
@@ -116,21 +116,21 @@
 	return time.Since(started)
 }
 
-// BenchmarkIdleCallers reports the proxy's memory per idle caller. The callers
+// BenchmarkIdleCallers reports the proxy's memory per idle client. The clients
 // share the process, so each keeps only its socket.
 func BenchmarkIdleCallers(b *testing.B) {
 	c := qt.New(b)
 	stack, err := rosestack.Start(context.Background(), rosestack.Config{Deployment: fastDeployment(c)})
 	c.Assert(err, qt.IsNil)
 	defer stack.Close()
-	const callers = 2000
+	const clients = 2000
 	for b.Loop() {
 		before := memoryInUse()
 		var conns []net.Conn
-		for range callers {
+		for range clients {
 			conns = append(conns, connectRaw(c, stack.Proxies[0].Address))
 		}
-		b.ReportMetric(float64(memoryInUse()-before)/callers/1024, "KB/caller")
+		b.ReportMetric(float64(memoryInUse()-before)/clients/1024, "KB/caller")
 		for _, conn := range conns {
 			conn.Close()
 		}
--- a/internal/rosestack/caller.go
+++ b/internal/rosestack/caller.go
@@ -13,9 +13,9 @@
 	"github.com/rosemarywell/rosemarywell/internal/rosenet"
 )
 
-const callerConnectTimeout = 5 * time.Second
+const clientConnectTimeout = 5 * time.Second
 
-// CallerConfig configures a caller's connection.
+// CallerConfig configures a client's connection.
 type CallerConfig struct {
 	Tenant   string
 	Database string
@@ -23,19 +23,19 @@
 	Settings map[string]string
 }
 
-// Connect opens a caller's connection to address with pgconn. Errors of the
+// Connect opens a client's connection to address with pgconn. Errors of the
 // driver are returned as they are.
-func Connect(ctx context.Context, dialer *rosenet.Dialer, address string, caller CallerConfig) (*pgconn.PgConn, error) {
+func Connect(ctx context.Context, dialer *rosenet.Dialer, address string, client CallerConfig) (*pgconn.PgConn, error) {
 	config, err := pgconn.ParseConfig("sslmode=disable")
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	// pgconn requires a host and a port; DialFunc ignores them.
 	config.Host, config.Port = "proxy", 1
-	config.User = caller.Tenant
-	config.Database = caller.Database
-	config.RuntimeParams = caller.Settings
-	config.ConnectTimeout = callerConnectTimeout
+	config.User = client.Tenant
+	config.Database = client.Database
+	config.RuntimeParams = client.Settings
+	config.ConnectTimeout = clientConnectTimeout
 	config.LookupFunc = func(context.Context, string) ([]string, error) { return []string{"proxy"}, nil }
 	config.DialFunc = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return dialer.Dial(ctx, address)
--- a/internal/rosestack/deployment.go
+++ b/internal/rosestack/deployment.go
@@ -24,7 +24,7 @@
 	Slots          int
 	MaxConnections int
 	// ZoneDelay is the one-way network delay between zones, CallerDelay that
-	// between a caller and any other host.
+	// between a client and any other host.
 	ZoneDelay   time.Duration
 	CallerDelay time.Duration
 	// ConnectTime and the times below are those of rosetarget.Config.
@@ -40,7 +40,7 @@
 	Classes []rosebundle.Class
 }
 
-// CallerZone is the zone of all callers and operators, outside the zones of
+// CallerZone is the zone of all clients and operators, outside the zones of
 // the proxies.
 const CallerZone = "callers"
 
--- a/internal/rosestack/settings.go
+++ b/internal/rosestack/settings.go
@@ -44,13 +44,13 @@
 	return nil
 }
 
-// portStep is the distance between a proxy's ports for callers, peers and
+// portStep is the distance between a proxy's ports for clients, peers and
 // operators.
 const portStep = 100
 
 func (s *Stack) writeProxySettings(directory string, i int, base *net.TCPAddr) error {
 	d := s.Config.Deployment
-	// Kind is 0 for callers, 1 for peers and 2 for operators.
+	// Kind is 0 for clients, 1 for peers and 2 for operators.
 	address := func(kind, n int) string { return fmt.Sprintf("%s:%d", base.IP, base.Port+kind*portStep+n) }
 	settings := rosesettings.Default()
 	settings.Name = fmt.Sprintf("proxy-%d", i+1)
--- a/internal/rosestack/stack.go
+++ b/internal/rosestack/stack.go
@@ -29,7 +29,7 @@
 	InMemory bool
 	// WithoutProxies starts only the simulated targets and platform.
 	WithoutProxies bool
-	// Listen is the address on which the first proxy accepts callers. The other
+	// Listen is the address on which the first proxy accepts clients. The other
 	// proxies use the ports after it. If it is empty, they all use free ports.
 	Listen string
 	// Baseline replaces policies of all proxies, for comparison.
@@ -47,7 +47,7 @@
 	// InitialBundle is the content of the first bundle. Later proposals do not
 	// change it.
 	InitialBundle *rosebundle.Content
-	// Platform simulates the platform's key-value service and VM list.
+	// Platform simulates the platform's key-value store and VM list.
 	Platform        *rosekv.Server
 	platformAddress string
 	platformTasks   sync.WaitGroup
@@ -187,10 +187,10 @@
 				ScanTime:       d.ScanTime,
 			})
 		}
-		cluster := rosetarget.NewGroup(s.Network, configs)
-		s.Groups[name] = cluster
+		group := rosetarget.NewGroup(s.Network, configs)
+		s.Groups[name] = group
 		for _, c := range configs {
-			if err := cluster.Target(c.ID).Start(); err != nil {
+			if err := group.Target(c.ID).Start(); err != nil {
 				return trace.Wrap(err)
 			}
 		}
@@ -230,14 +230,14 @@
 	defer conn.Close()
 	for _, statement := range append(append([]string{}, d.Schema...), d.Seed...) {
 		if _, err := conn.Query(ctx, statement); err != nil {
-			return trace.Wrap(err, "creating tables of database %s", name)
+			return trace.Wrap(err, "can't create the tables of database %s", name)
 		}
 	}
 	return nil
 }
 
 // StartProxy starts proxy i, or restarts it after Kill or Drain. A restarted
-// proxy keeps its addresses for callers and peers.
+// proxy keeps its addresses for clients and peers.
 func (s *Stack) StartProxy(i int) (*Proxy, error) {
 	d := s.Config.Deployment
 	p := &Proxy{Name: fmt.Sprintf("proxy-%d", i+1), Zone: d.Zones[i%len(d.Zones)]}
@@ -361,15 +361,15 @@
 	for _, p := range s.Proxies {
 		p.Kill()
 	}
-	for _, c := range s.Groups {
-		c.Close()
+	for _, g := range s.Groups {
+		g.Close()
 	}
 	s.Platform.Close()
 	s.platformTasks.Wait()
 	s.Network.Close()
 }
 
-// CallerDialer returns a dialer for a caller of the given name.
+// CallerDialer returns a dialer for a client of the given name.
 func (s *Stack) CallerDialer(name string) *rosenet.Dialer {
 	return s.Network.Dialer(rosenet.Host{Name: name, Zone: CallerZone})
 }
--- a/internal/rosestack/stack_test.go
+++ b/internal/rosestack/stack_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// connect opens a caller's connection to proxy i, as the first tenant and to the
+// connect opens a client's connection to proxy i, as the first tenant and to the
 // first database.
 func connect(c *qt.C, stack *rosestack.Stack, i int, settings map[string]string) *pgconn.PgConn {
 	conn, err := rosestack.Connect(context.Background(), stack.CallerDialer("caller"), stack.Proxies[i].Address, rosestack.CallerConfig{
@@ -60,8 +60,8 @@
 	for _, resume := range []string{"token", "name"} {
 		t.Run(resume, func(t *testing.T) {
 			withStack(t, "costa-rica", func(c *qt.C, stack *rosestack.Stack) {
-				cluster := stack.Groups["licencias1"]
-				cluster.Target("licencias1-2").SetLag(700 * time.Millisecond)
+				group := stack.Groups["licencias1"]
+				group.Target("licencias1-2").SetLag(700 * time.Millisecond)
 				first := connect(c, stack, 0, nil)
 				query(c, first, "UPDATE licences SET version = 41 WHERE id = 7")
 				settings := map[string]string{"rosemary.class": "lookup"}
@@ -86,9 +86,9 @@
 // no quorum.
 func TestWriteWaitsForAQuorum(t *testing.T) {
 	withStack(t, "guatemala", func(c *qt.C, stack *rosestack.Stack) {
-		cluster := stack.Groups["carreras1"]
+		group := stack.Groups["carreras1"]
 		for _, id := range []string{"carreras1-2", "carreras1-3"} {
-			cluster.Target(rosemary.TargetID(id)).SetLag(2 * time.Second)
+			group.Target(rosemary.TargetID(id)).SetLag(2 * time.Second)
 		}
 		conn := connect(c, stack, 0, nil)
 		defer conn.Close(context.Background())
