--- a/internal/roseload/fault_primary.go
+++ b/internal/roseload/fault_primary.go
@@ -68,14 +68,14 @@
 }
 
 // injectZonePartition partitions the primary's zone from the other zones and
-// the platform. Callers can still reach every proxy.
+// the platform. Clients can still reach every proxy.
 func injectZonePartition(_ context.Context, f *injector) {
 	zone := f.zoneOf(f.primary())
 	f.run.stack.Network.SetBlocked(zonePartition(zone))
 }
 
 // zonePartition returns a predicate for rosenet's SetBlocked that partitions
-// zone from all others except the callers'.
+// zone from all others except the clients'.
 func zonePartition(zone string) func(from, to rosenet.Host) bool {
 	return func(from, to rosenet.Host) bool {
 		if from.Zone == rosestack.CallerZone || to.Zone == rosestack.CallerZone {
--- a/internal/roseload/fault_replicas.go
+++ b/internal/roseload/fault_replicas.go
@@ -17,8 +17,8 @@
 
 // injectReplicaLag delays replication to one replica of every database.
 func injectReplicaLag(_ context.Context, f *injector) {
-	for _, cluster := range f.run.stack.Groups {
-		for _, t := range cluster.Targets() {
+	for _, group := range f.run.stack.Groups {
+		for _, t := range group.Targets() {
 			if status := t.Status(); !status.LeadsTerm() {
 				t.SetLag(replicaLag)
 				break
@@ -28,8 +28,8 @@
 }
 
 func healReplicaLag(f *injector) {
-	for _, cluster := range f.run.stack.Groups {
-		for _, t := range cluster.Targets() {
+	for _, group := range f.run.stack.Groups {
+		for _, t := range group.Targets() {
 			t.SetLag(0)
 		}
 	}
--- a/internal/roseload/history.go
+++ b/internal/roseload/history.go
@@ -1,6 +1,6 @@
 // Package roseload generates load on a deployment, with the mix of requests that
 // is typical of the customer, and injects faults. It records the history of the
-// operations as callers observed them and checks its consistency.
+// operations as clients observed them and checks its consistency.
 package roseload
 
 import (
@@ -23,7 +23,7 @@
 	KindSwap Kind = "swap"
 )
 
-// Outcome is the outcome of an operation as reported to the caller.
+// Outcome is the outcome of an operation as reported to the client.
 type Outcome string
 
 // Outcomes of an operation.
@@ -36,7 +36,7 @@
 	OutcomeDuplicate Outcome = "duplicate"
 )
 
-// Operation is one attempt of a request and its response, as the caller observed
+// Operation is one attempt of a request and its response, as the client observed
 // them.
 type Operation struct {
 	Session  string
--- a/internal/roseload/report.go
+++ b/internal/roseload/report.go
@@ -117,8 +117,8 @@
 // workAfterLeaving counts the late statements on the leaving target, as that
 // target recorded them.
 func (r *run) workAfterLeaving() int {
-	for _, cluster := range r.stack.Groups {
-		if t := cluster.Target(rosemary.TargetID(r.leaving.id)); t != nil {
+	for _, group := range r.stack.Groups {
+		if t := group.Target(rosemary.TargetID(r.leaving.id)); t != nil {
 			return t.StatementsAfter(r.leaving.since.Add(leavingGracePeriod))
 		}
 	}
--- a/internal/roseload/session.go
+++ b/internal/roseload/session.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// operationTimeout bounds a request of the caller, including its retries.
+	// operationTimeout bounds a request of the client, including its retries.
 	operationTimeout = 15 * time.Second
 	// reconnectProbability is the probability that a session reconnects before
 	// an operation.
 	reconnectProbability = 0.03
 	// maxInsertAttempts bounds the attempts with one request identifier.
 	maxInsertAttempts = 4
-	// retryDelay is the delay before each retry by the caller.
+	// retryDelay is the delay before each retry by the client.
 	retryDelay = 100 * time.Millisecond
 )
 
-// session is a caller's session, which moves between proxies.
+// session is a client's session, which moves between proxies.
 type session struct {
 	run      *run
 	random   *rand.Rand
