--- a/internal/rosefront/handshake.go
+++ b/internal/rosefront/handshake.go
@@ -35,7 +35,7 @@
 		backend.SetMaxBodyLen(s.config.MaxMessageBytes)
 		message, err := backend.ReceiveStartupMessage()
 		if err != nil {
-			return nil, trace.Wrap(err, "receive startup message")
+			return nil, trace.Wrap(err, "can't receive the startup message")
 		}
 		switch m := message.(type) {
 		case *pgproto3.GSSEncRequest:
@@ -69,7 +69,7 @@
 	}
 	encrypted := tls.Server(conn, s.config.TLS)
 	if err := encrypted.Handshake(); err != nil {
-		return nil, trace.ConnectionProblem(err, "TLS handshake")
+		return nil, trace.ConnectionProblem(err, "TLS handshake failed")
 	}
 	return encrypted, nil
 }
