--- a/internal/rosedaemon/admin.go
+++ b/internal/rosedaemon/admin.go
@@ -175,7 +175,7 @@
 }
 
 func (b *backend) state(leaving func(rosemary.TargetID) bool) GroupState {
-	view, _ := b.group.View()
+	view, _ := b.monitor.View()
 	state := GroupState{Database: b.database.Name, Term: view.Term, Confirmed: view.Confirmed.String()}
 	if view.HasPrimary {
 		state.Primary = view.Primary.ID
--- a/internal/rosedaemon/backend.go
+++ b/internal/rosedaemon/backend.go
@@ -35,7 +35,7 @@
 // backend holds the components that serve one database.
 type backend struct {
 	database rosebundle.Database
-	group    *rosegroup.Monitor
+	monitor  *rosegroup.Monitor
 	pools    map[rosemary.TargetID]*rosepool.Pool
 	queues   map[rosemary.TargetID]*roseadmit.Queue
 	router   *roseroute.Router
@@ -77,7 +77,7 @@
 		controls[t.ID] = rosepool.NewControl(config)
 		probes[t.ID] = rosepool.NewPooledControl(b.pools[t.ID])
 	}
-	b.group = rosegroup.NewMonitor(rosegroup.Config{
+	b.monitor = rosegroup.NewMonitor(rosegroup.Config{
 		Group:    group,
 		Controls: controls,
 		Probes:   probes,
@@ -88,7 +88,7 @@
 		OnChange:     func(change rosegroup.Change) { d.groupChanged(b, change) },
 	})
 	b.router = roseroute.NewRouter(roseroute.Config{
-		Group:        b.group,
+		Group:        b.monitor,
 		Zone:         d.config.Zone,
 		Pools:        b.pools,
 		Queues:       b.queues,
@@ -112,7 +112,7 @@
 func (b *backend) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.cancel = cancel
-	b.tasks.Go(func() { _ = b.group.Run(ctx) })
+	b.tasks.Go(func() { _ = b.monitor.Run(ctx) })
 	b.tasks.Go(func() { b.supervisor.Run(ctx) })
 	b.tasks.Go(func() { b.trimPools(ctx) })
 }
--- a/internal/rosedaemon/bundle.go
+++ b/internal/rosedaemon/bundle.go
@@ -20,7 +20,7 @@
 	// watcherPollInterval is the interval at which a watcher also reads the
 	// store, in case the watch stopped delivering.
 	watcherPollInterval = 2 * time.Second
-	// isolatedPollInterval is the interval at which a proxy without a linked peer
+	// isolatedPollInterval is the interval at which a proxy without a connected peer
 	// reads the store if it isn't a watcher.
 	isolatedPollInterval = 5 * time.Second
 	// updateTimeout bounds the update to one bundle.
@@ -42,7 +42,7 @@
 }
 
 // followStore puts new bundles from the store into force while this proxy is one
-// of its zone's watchers or has no linked peer.
+// of its zone's watchers or has no connected peer.
 func (d *Daemon) followStore(ctx context.Context) {
 	if d.config.Store == nil {
 		return
--- a/internal/rosedaemon/daemon.go
+++ b/internal/rosedaemon/daemon.go
@@ -228,7 +228,7 @@
 	return !d.unready && !d.server.Draining() && len(d.backends) > 0
 }
 
-// LinkedPeerCount returns the number of linked peers.
+// LinkedPeerCount returns the number of connected peers.
 func (d *Daemon) LinkedPeerCount() int { return len(d.mesh.LinkedPeers()) }
 
 // MarkUnready makes the readiness check fail, so that the load balancer sends
--- a/internal/rosedaemon/peers.go
+++ b/internal/rosedaemon/peers.go
@@ -113,7 +113,7 @@
 	if b == nil || err != nil {
 		return
 	}
-	b.group.Observe(rosegroup.Observation{Status: rosemary.Status{
+	b.monitor.Observe(rosegroup.Observation{Status: rosemary.Status{
 		Target:   rosemary.TargetID(primary.Target),
 		Term:     primary.Term,
 		Position: rosemary.Position{LogTerm: primary.Term, Offset: primary.Offset},
@@ -153,7 +153,7 @@
 	database := b.database.Name
 	return rosesupervisor.NewSupervisor(rosesupervisor.Config{
 		Self:  d.config.Name,
-		Group: b.group,
+		Group: b.monitor,
 		Control: func(id rosemary.TargetID) rosemary.TargetControl {
 			return rosepool.NewPooledControl(b.pools[id])
 		},
