--- a/internal/rosenode/follow.go
+++ b/internal/rosenode/follow.go
@@ -28,10 +28,10 @@
 	targetsInterval = 1400 * time.Millisecond
 	// storeReadTimeout bounds one read of the targets or of the configuration.
 	storeReadTimeout = 1500 * time.Millisecond
-	// maxUnscaledProxies is the cluster size up to which proxies call the store
+	// maxUnscaledProxies is the number of proxies up to which they call the store
 	// at their normal intervals.
 	maxUnscaledProxies = 12.0
-	// maxIntervalScale bounds the factor by which a larger cluster lengthens
+	// maxIntervalScale bounds the factor by which more proxies lengthen
 	// the intervals.
 	maxIntervalScale = 4.0
 	// nonHomeIntervalFactor lengthens targetsInterval for a proxy that is home
@@ -79,8 +79,8 @@
 	}
 }
 
-// scaleInterval lengthens an interval for a large cluster, so that the load on
-// the store grows more slowly than the cluster. New configurations don't
+// scaleInterval lengthens an interval if there are many proxies, so that the load
+// on the store grows more slowly than their number. New configurations don't
 // depend on the intervals alone, as proxies also fetch them from each other.
 func (n *Node) scaleInterval(interval time.Duration) time.Duration {
 	factor := float64(len(n.locks.Members())) / maxUnscaledProxies
--- a/internal/rosenode/homes_test.go
+++ b/internal/rosenode/homes_test.go
@@ -30,10 +30,10 @@
 		members     []rosemary.Member
 		homes       int
 	}{
-		{"small cluster, few connections", 22, 3, proxies(3, 2, 1), 6},
-		{"small cluster, many connections", 50, 5, proxies(3, 2, 1), 6},
-		{"large cluster, few connections", 34, 3, proxies(30, 21, 18), 3},
-		{"large cluster, many connections", 151, 6, proxies(17, 13, 14, 17), 8},
+		{"few proxies, few connections", 22, 3, proxies(3, 2, 1), 6},
+		{"few proxies, many connections", 50, 5, proxies(3, 2, 1), 6},
+		{"many proxies, few connections", 34, 3, proxies(30, 21, 18), 3},
+		{"many proxies, many connections", 151, 6, proxies(17, 13, 14, 17), 8},
 		{"300 proxies", 34, 3, proxies(100, 100, 100), 3},
 		{"single proxy", 22, 3, proxies(1), 1},
 		{"fewer connections than proxies", 4, 3, proxies(2, 2, 2), 3},
--- a/internal/rosenode/node.go
+++ b/internal/rosenode/node.go
@@ -61,7 +61,7 @@
 	// readTargetsNow makes followTargets read the targets at once.
 	readTargetsNow chan struct{}
 	// isolated is set while this proxy is neither registered in the store nor
-	// linked to a peer.
+	// connected to a peer.
 	isolated atomic.Bool
 	// zonePartitioned is set while this proxy's zone is cut off from the others.
 	zonePartitioned atomic.Bool
@@ -116,7 +116,7 @@
 	}
 	n.mesh = n.newMesh()
 	n.executor = rosecaller.NewLocalExecutor(rosecaller.LocalExecutorConfig{Group: n.Group, RetryBudget: n.retryBudget})
-	n.relayServer = roserelay.NewServer(roserelay.ServerConfig{Executor: localExecutor{n}})
+	n.relayServer = roserelay.NewServer(roserelay.ServerConfig{Executor: servingExecutor{n}})
 	n.relayClient = roserelay.NewClient(roserelay.ClientConfig{Dialer: config.PeerDialer})
 	n.locks = rosesupervisor.NewLockManager(rosesupervisor.LockManagerConfig{
 		Store:          config.Store,
--- a/internal/rosenode/peers.go
+++ b/internal/rosenode/peers.go
@@ -19,8 +19,8 @@
 
 const (
 	peerHeartbeatInterval = time.Second
-	// peerFullMeshSize is the cluster size up to which every proxy links to
-	// every other.
+	// peerFullMeshSize is the number of proxies up to which each connects to
+	// every other one.
 	peerFullMeshSize = 400
 	peerTickInterval = 100 * time.Millisecond
 	// peerHeaderTimeout bounds the time to receive a peer's request headers.
@@ -173,7 +173,7 @@
 }
 
 // allowPrimary reports whether this proxy may rely on a primary. A proxy whose
-// lease in the store has expired and that is linked to no peer may not: the
+// lease in the store has expired and that is connected to no peer may not: the
 // proxy that replaces a primary doesn't know of it, and can't tell it to stop
 // using the old one.
 func (n *Node) allowPrimary() bool { return !n.isolated.Load() }
@@ -263,14 +263,14 @@
 	return rosewire.Reply{}
 }
 
-// RequestAbstention asks all linked peers not to claim failover locks for a while,
+// RequestAbstention asks all connected peers not to claim failover locks for a while,
 // and returns those that promised it.
 func (p peers) RequestAbstention(ctx context.Context) []rosemary.ProxyID {
 	replies, _ := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutAbstain})
 	return agreedPeers(replies)
 }
 
-// PollReachability asks all linked peers whether they reach a target. It counts
+// PollReachability asks all connected peers whether they reach a target. It counts
 // those that replied, those that reach it, and those that don't.
 func (p peers) PollReachability(ctx context.Context, group string, target rosemary.TargetID) (replied, reachedBy, notReachedBy int) {
 	replies, _ := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutReachability, Group: group, Target: string(target)})
@@ -285,20 +285,20 @@
 	return len(replies), reachedBy, notReachedBy
 }
 
-// RevokePrimary asks all linked peers to stop using the primary of term. It
+// RevokePrimary asks all connected peers to stop using the primary of term. It
 // returns those that have, and all that were asked.
 func (p peers) RevokePrimary(ctx context.Context, group string, term uint64) (stopped, asked []rosemary.ProxyID) {
 	replies, asked := p.mesh.QueryAll(ctx, rosewire.Question{About: rosepeer.AboutPrimaryRevoked, Group: group, Term: term})
 	return agreedPeers(replies), asked
 }
 
-// ReportSuspected tells all linked peers that the target has just failed to
+// ReportSuspected tells all connected peers that the target has just failed to
 // answer this proxy, so that they sample it at once.
 func (p peers) ReportSuspected(ctx context.Context, group string, target rosemary.TargetID) {
 	p.notifyAll(ctx, rosepeer.AboutPrimarySuspected, group, target)
 }
 
-// ReportUnreachable tells all linked peers that this proxy can't reach the target.
+// ReportUnreachable tells all connected peers that this proxy can't reach the target.
 func (p peers) ReportUnreachable(ctx context.Context, group string, target rosemary.TargetID) {
 	p.notifyAll(ctx, rosepeer.AboutPrimaryUnreachable, group, target)
 }
--- a/internal/rosenode/placement.go
+++ b/internal/rosenode/placement.go
@@ -47,7 +47,7 @@
 	if last != nil {
 		return *last
 	}
-	return localExecutor{p.node}.Run(ctx, task)
+	return servingExecutor{p.node}.Run(ctx, task)
 }
 
 // Begin opens a transaction with its first statement.
@@ -68,7 +68,7 @@
 	if last != nil {
 		return nil, *last
 	}
-	return localExecutor{p.node}.Begin(ctx, task)
+	return servingExecutor{p.node}.Begin(ctx, task)
 }
 
 // mayRetryElsewhere reports whether a task that a home proxy has refused may be
@@ -88,25 +88,25 @@
 	return true
 }
 
-// localExecutor runs tasks on this proxy's own connections. If the proxy isn't a
-// home of the task's group, or doesn't know yet that it is, it serves the group
-// temporarily.
-type localExecutor struct {
+// servingExecutor wraps rosecaller.LocalExecutor, which runs tasks on this proxy's
+// own connections. If the proxy isn't a home of the task's group, or doesn't know
+// yet that it is, it first starts to serve the group temporarily.
+type servingExecutor struct {
 	node *Node
 }
 
-var _ rosecaller.Executor = localExecutor{}
+var _ rosecaller.Executor = servingExecutor{}
 
 // Run runs a statement outside a transaction.
-func (l localExecutor) Run(ctx context.Context, task rosecaller.Task) rosecaller.Result {
-	l.node.serveTemporarily(task.Route.Group)
-	return l.node.executor.Run(ctx, task)
+func (e servingExecutor) Run(ctx context.Context, task rosecaller.Task) rosecaller.Result {
+	e.node.serveTemporarily(task.Route.Group)
+	return e.node.executor.Run(ctx, task)
 }
 
 // Begin opens a transaction with its first statement.
-func (l localExecutor) Begin(ctx context.Context, task rosecaller.Task) (rosecaller.Transaction, rosecaller.Result) {
-	l.node.serveTemporarily(task.Route.Group)
-	return l.node.executor.Begin(ctx, task)
+func (e servingExecutor) Begin(ctx context.Context, task rosecaller.Task) (rosecaller.Transaction, rosecaller.Result) {
+	e.node.serveTemporarily(task.Route.Group)
+	return e.node.executor.Begin(ctx, task)
 }
 
 // serveTemporarily has this proxy serve a group whose homes are other proxies for
