--- a/internal/rosecommand/bundle.go
+++ b/internal/rosecommand/bundle.go
@@ -44,11 +44,11 @@
 // storeFlags adds the flags for the platform's store. The returned function
 // creates a client of the store; the flags must have been parsed.
 func storeFlags(flags *flag.FlagSet) func() (rosemary.Store, error) {
-	address := flags.String("store", "", "address (host:port) of the platform's key-value service")
+	address := flags.String("store", "", "address (host:port) of the platform's key-value store")
 	prefix := flags.String("prefix", "", "prefix of the store's keys, as in the proxies' settings")
 	return func() (rosemary.Store, error) {
 		if *address == "" {
-			return nil, usageError{trace.BadParameter("-store is missing; give the address (host:port) of the platform's key-value service")}
+			return nil, usageError{trace.BadParameter("-store is missing; give the address (host:port) of the platform's key-value store")}
 		}
 		return rosestore.NewClient(rosestore.Config{Address: *address, Prefix: *prefix, Dialer: tcpDialer{}}), nil
 	}
@@ -67,7 +67,7 @@
 		}
 		// Decoded alone, so that the error names the file.
 		if _, err := toml.Decode(string(text), &rosebundle.Content{}); err != nil {
-			return nil, usageError{trace.BadParameter("cannot parse %s as a bundle: %v; correct the TOML", path, err)}
+			return nil, usageError{trace.BadParameter("can't parse %s as a bundle: %v; correct the TOML", path, err)}
 		}
 		texts = append(texts, string(text))
 	}
